--- a/benchmarks/bench_warm_up.py
+++ b/benchmarks/bench_warm_up.py
@@ -18,7 +18,7 @@
 from whinrack.dispatch import SharedRatePermits, WarmUpLimits
 
 RATE = 9.9
-BOUND = WarmUpLimits(1.5, 5.0).bound(RATE)
+BOUND = WarmUpLimits(1.5, 5.0).rate_bound(RATE)
 FLEET = [f"m{number}" for number in range(87)]
 SERVING = FLEET[:6]
 DEMAND = 8.0
@@ -113,9 +113,9 @@
 
     def may_send(self, now):
         """Whether one more request is sent."""
-        if not self.permits.holds(self.target, BOUND, now):
+        if not self.permits.has_permit(self.target, BOUND, now):
             return False
-        self.permits.take(self.target, BOUND, now)
+        self.permits.take_permit(self.target, BOUND, now)
         return True
 
 
@@ -175,7 +175,7 @@
 
 def main():
     """Compare the ways."""
-    bound = BOUND.most
+    bound = BOUND.max_requests
     section(f"cold targets: {RATE} a second are borne, {bound} may reach one in a second")
     for way, kind in WAYS.items():
         for name, views in VIEWS.items():
--- a/whinrack/dispatch/__init__.py
+++ b/whinrack/dispatch/__init__.py
@@ -1,29 +1,29 @@
 """Declared routes: from a caller's request to a target's answer."""
 
 from whinrack.dispatch._configuration import Configuration
-from whinrack.dispatch._directory import Directory
+from whinrack.dispatch._current_configuration import CurrentConfiguration
 from whinrack.dispatch._dispatcher import Dispatcher, DispatchOptions
-from whinrack.dispatch._halls import EmptiedHalls, HallWord
+from whinrack.dispatch._emptied_halls import EmptiedHalls, HallStatus
 from whinrack.dispatch._rate_bounds import RateBound, WarmUpLimits
 from whinrack.dispatch._registry import TargetRegistry
-from whinrack.dispatch._retries import RetryAllowance
+from whinrack.dispatch._retries import RetryBudget
 from whinrack.dispatch._shared_rates import SharedRatePermits
-from whinrack.dispatch._stated_limits import NO_LIMIT, LimitChange, LimitWord, StatedLimits
+from whinrack.dispatch._stated_limits import NO_LIMIT, LimitChange, LimitReport, StatedLimits
 from whinrack.dispatch._statements import TargetStatement
 from whinrack.dispatch._target_state import TargetState
 from whinrack.dispatch._values import (
     Attempt,
     ColdStart,
-    DeclaredCover,
-    EngineShape,
+    DeclaredTokens,
+    EngineCapacity,
     IncomingRequest,
     PoolRecord,
-    PoolShare,
     PromptPart,
     Route,
     RouteKind,
     TargetRecord,
     TargetsView,
+    WeightedPool,
     WorkspaceRecord,
 )
 from whinrack.dispatch.base import Dialect
@@ -33,21 +33,21 @@
     "Attempt",
     "ColdStart",
     "Configuration",
-    "DeclaredCover",
+    "DeclaredTokens",
     "Dialect",
-    "Directory",
+    "CurrentConfiguration",
     "DispatchOptions",
     "Dispatcher",
     "EmptiedHalls",
-    "EngineShape",
-    "HallWord",
+    "EngineCapacity",
+    "HallStatus",
     "IncomingRequest",
     "LimitChange",
-    "LimitWord",
+    "LimitReport",
     "PoolRecord",
-    "PoolShare",
+    "WeightedPool",
     "PromptPart",
-    "RetryAllowance",
+    "RetryBudget",
     "RateBound",
     "Route",
     "RouteKind",
--- a/whinrack/dispatch/_last_words.py
+++ b/whinrack/dispatch/_abandoned_runs.py
@@ -9,7 +9,7 @@
 
 from whinrack.clock import steady
 from whinrack.dispatch._events import event_blocks
-from whinrack.dispatch._run import Run
+from whinrack.dispatch._request_run import Run
 from whinrack.dispatch._statements import TargetStatement
 from whinrack.dispatch._values import PoolRecord
 from whinrack.dispatch.base import Dialect
@@ -44,9 +44,9 @@
     try:
         if not answered:
             head = connection.read_head(
-                end, lambda headers: dialect.is_answer_to(run.request, headers)
+                end, lambda headers: dialect.is_response_to(run.request, headers)
             )
-            statement = dialect.statement(head)
+            statement = dialect.parse_statement(head)
             hear(statement)
             if statement.did_not_run:
                 run.may_have_run = run.attempts > 1
--- a/whinrack/dispatch/_answers.py
+++ b/whinrack/dispatch/_answers.py
@@ -5,7 +5,7 @@
 from whinrack.clock import steady
 from whinrack.dispatch._events import event_blocks
 from whinrack.dispatch._pacing import StreamPacing
-from whinrack.dispatch._run import Run
+from whinrack.dispatch._request_run import Run
 from whinrack.dispatch._run_log import log_run
 from whinrack.dispatch._values import PoolRecord
 from whinrack.exceptions import AnswerCut
--- a/whinrack/dispatch/_attempts.py
+++ b/whinrack/dispatch/_attempts.py
@@ -4,17 +4,17 @@
 from collections.abc import Callable
 
 from whinrack.clock import steady
+from whinrack.dispatch._abandoned_runs import settle_by_last_words
+from whinrack.dispatch._answer_times import AnswerTimes
 from whinrack.dispatch._answers import AnswerRelay
-from whinrack.dispatch._last_words import settle_by_last_words
-from whinrack.dispatch._patience import AnswerTimes
+from whinrack.dispatch._open_connections import ConnectionsUnderWay
+from whinrack.dispatch._refusals import no_target, target_full, why_nobody
 from whinrack.dispatch._registry import TargetRegistry
+from whinrack.dispatch._request_run import Run
 from whinrack.dispatch._retries import RetryAllowances
-from whinrack.dispatch._run import Run
 from whinrack.dispatch._statements import StatementIntake, TargetStatement
 from whinrack.dispatch._target_ends import TargetEnds
 from whinrack.dispatch._target_state import Reading, TargetState
-from whinrack.dispatch._turning_away import no_target, target_full, why_nobody
-from whinrack.dispatch._under_way import ConnectionsUnderWay
 from whinrack.dispatch._values import Attempt, PoolRecord, RouteKind, TargetsView
 from whinrack.dispatch.base import Dialect
 from whinrack.exceptions import (
@@ -172,9 +172,9 @@
 
     def _most_in_flight(self, pool: PoolRecord) -> int:
         """Return this instance's share of the connections that one target accepts."""
-        if not pool.most_connections:
+        if not pool.max_connections:
             return sys.maxsize
-        share = _CONNECTION_PART * pool.most_connections / max(1, self.instances())
+        share = _CONNECTION_PART * pool.max_connections / max(1, self.instances())
         return max(_LEAST_IN_FLIGHT, int(share))
 
     def _connect(self, run: Run, state: TargetState) -> TargetConnection:
@@ -202,7 +202,7 @@
         try:
             head = self._head_of_answer(run, state, connection, head_end)
             self.answer_times.observe(pool.name, steady() - began)
-            statement = self.dialect.statement(head)
+            statement = self.dialect.parse_statement(head)
             hear(statement)
             if statement.did_not_run:
                 run.may_have_run = may_have_run_before
@@ -222,7 +222,7 @@
         except CallerGone:
             self._suspect_silence(state, began, answered, patience)
             # Nobody waits for an answer here, so there is time to learn what was made.
-            if run.cover is not None and run.may_have_run:
+            if run.reservation is not None and run.may_have_run:
                 settle_by_last_words(run, pool, connection, self.dialect, hear, answered)
             raise
         finally:
@@ -237,7 +237,7 @@
         try:
             self._send(run, state, connection)
             return connection.read_head(
-                end, lambda headers: self.dialect.is_answer_to(run.request, headers)
+                end, lambda headers: self.dialect.is_response_to(run.request, headers)
             )
         finally:
             state.unanswered -= 1
@@ -249,7 +249,7 @@
         are billed, and a busy engine only gets more to do. With it, 14 in 100 requests were
         refused for their budgets on a day with silent engines, and 4 in 100 without.
         """
-        if pool.engine is not None or run.attempts >= run.route.most_attempts:
+        if pool.engine is not None or run.attempts >= run.route.max_attempts:
             return False
         if not run.route.may_run_again:
             return False
@@ -282,7 +282,7 @@
         self, pool: PoolRecord, state: TargetState, statement: TargetStatement
     ) -> None:
         now = steady()
-        if statement.is_other_target:
+        if statement.is_misdirected:
             self.registry.not_at_its_address(state)
         else:
             self.registry.busy(state, now)
@@ -304,5 +304,5 @@
     def _run_again(self, run: Run, pool: PoolRecord, head: ResponseHead) -> None:
         """Try another target after a target's own failure, where that is allowed."""
         has_other = self.registry.has_other(pool.name, run.tried, steady(), pool.cold_start)
-        if run.attempts < run.route.most_attempts and has_other:
+        if run.attempts < run.route.max_attempts and has_other:
             raise AnswerCut(f"the target answered {head.status}")
--- a/whinrack/dispatch/_warmth.py
+++ b/whinrack/dispatch/_cold_state.py
@@ -8,7 +8,7 @@
 import math
 from enum import StrEnum
 
-__all__ = ["ColdReason", "Warmth"]
+__all__ = ["ColdReason", "ColdState"]
 
 # From the end of a target until its record lapses: three heartbeats of 1.2 s, and what the store
 # and the watch take.
@@ -27,7 +27,7 @@
     HALL_BACK = "hall_back"
 
 
-class Warmth:
+class ColdState:
     """How long one target is cold; steady clock, seconds.
 
     Attributes
--- a/whinrack/dispatch/_configuration.py
+++ b/whinrack/dispatch/_configuration.py
@@ -18,9 +18,9 @@
         Higher versions replace lower ones.
     routes, pools, workspaces : iterable
     limits : ServerLimits
-    checks_keys : bool
+    is_key_required : bool
         Whether routes that aren't public need a key.
-    ignored : iterable of str
+    ignored_fields : iterable of str
         Fields that were left out, and why; for logs.
     """
 
@@ -31,13 +31,13 @@
         pools: Iterable[PoolRecord],
         workspaces: Iterable[WorkspaceRecord],
         limits: ServerLimits,
-        checks_keys: bool = True,
-        ignored: Iterable[str] = (),
+        is_key_required: bool = True,
+        ignored_fields: Iterable[str] = (),
     ):
-        self.ignored = tuple(ignored)
+        self.ignored_fields = tuple(ignored_fields)
         self.version = version
         self.limits = limits
-        self.checks_keys = checks_keys
+        self.is_key_required = is_key_required
         self.pools = {pool.name: pool for pool in pools}
         self.workspaces = {workspace.name: workspace for workspace in workspaces}
         self._routes: dict[str, dict[str, Route]] = {}
@@ -48,15 +48,15 @@
         }
 
     @property
-    def limits_by_workspace(self) -> dict[str, int]:
+    def workspace_limits(self) -> dict[str, int]:
         """The prepaid limits, in tokens."""
         return {
-            name: workspace.limit
+            name: workspace.token_limit
             for name, workspace in self.workspaces.items()
-            if workspace.limit is not None
+            if workspace.token_limit is not None
         }
 
-    def route(self, host: str, path: str) -> Route:
+    def find_route(self, host: str, path: str) -> Route:
         """Return the route with the longest prefix of a path.
 
         Raises
@@ -80,7 +80,7 @@
         ------
         Unauthorized
         """
-        if route.public or not self.checks_keys:
+        if route.is_public or not self.is_key_required:
             return self._keys.get(key)
         workspace = self._keys.get(key)
         if workspace is None:
--- a/whinrack/dispatch/_directory.py
+++ b/whinrack/dispatch/_current_configuration.py
@@ -7,22 +7,22 @@
 from whinrack.exceptions import ConfigurationUnknown
 from whinrack.http1 import ServerLimits
 
-__all__ = ["Directory"]
+__all__ = ["CurrentConfiguration"]
 
 _RETRY_SECONDS = 0.3
 
 
-class Directory:
+class CurrentConfiguration:
     """Holds the newest configuration that this run has met.
 
     Parameters
     ----------
-    changed : callable
+    on_change : callable
         Called with each configuration that comes into force.
     """
 
-    def __init__(self, changed: Callable[[Configuration], None]):
-        self.changed = changed
+    def __init__(self, on_change: Callable[[Configuration], None]):
+        self.on_change = on_change
         self._current: Configuration | None = None
 
     @property
@@ -40,7 +40,7 @@
         """The pools in force, none if no configuration is known."""
         return [] if self._current is None else list(self._current.pools.values())
 
-    def current(self) -> Configuration:
+    def get(self) -> Configuration:
         """Return the configuration in force.
 
         Raises
@@ -51,10 +51,10 @@
             raise ConfigurationUnknown("no configuration is known yet", retry_after=_RETRY_SECONDS)
         return self._current
 
-    def take(self, configuration: Configuration) -> bool:
+    def update(self, configuration: Configuration) -> bool:
         """Put a configuration in force unless a newer one is; True if it is new."""
         if configuration.version <= self.version:
             return False
         self._current = configuration
-        self.changed(configuration)
+        self.on_change(configuration)
         return True
--- a/whinrack/dispatch/_dispatcher.py
+++ b/whinrack/dispatch/_dispatcher.py
@@ -16,18 +16,18 @@
     AttemptRunner,
     NobodyTakesIt,
 )
-from whinrack.dispatch._directory import Directory
+from whinrack.dispatch._current_configuration import CurrentConfiguration
 from whinrack.dispatch._pacing import StreamPacing
+from whinrack.dispatch._refusals import BUSY_RETRY_SECONDS
 from whinrack.dispatch._registry import TargetRegistry
-from whinrack.dispatch._retries import RetryAllowance, RetryAllowances
-from whinrack.dispatch._run import Run
+from whinrack.dispatch._request_run import Run
+from whinrack.dispatch._retries import RetryAllowances, RetryBudget
 from whinrack.dispatch._run_log import (
     log_attempt,
     log_refusal,
     log_run,
     log_uncovered,
 )
-from whinrack.dispatch._turning_away import BUSY_RETRY_SECONDS
 from whinrack.dispatch._values import IncomingRequest, Route, TargetsView
 from whinrack.dispatch.base import Dialect
 from whinrack.exceptions import (
@@ -54,7 +54,7 @@
     Attributes
     ----------
     retry_ratio, retry_slack, retry_window : float
-        Retries that all instances share; see `RetryAllowance`.
+        Retries that all instances share; see `RetryBudget`.
     cores, event_delay : float
         See `StreamPacing`.
     """
@@ -72,7 +72,7 @@
     Parameters
     ----------
     dialect : Dialect
-    directory : Directory
+    current_configuration : Directory
     registry : TargetRegistry
     keeper : GrantKeeper
     connections : ConnectionPool
@@ -91,7 +91,7 @@
     def __init__(
         self,
         dialect: Dialect,
-        directory: Directory,
+        current_configuration: CurrentConfiguration,
         registry: TargetRegistry,
         keeper: GrantKeeper,
         connections: ConnectionPool,
@@ -103,13 +103,13 @@
         guard: RunGuard | None = None,
     ):
         self.dialect = dialect
-        self.directory = directory
+        self.current_configuration = current_configuration
         self.keeper = keeper
         self.metrics = metrics
         self.instances = instances
-        self.in_progress = 0
+        self.requests_in_progress = 0
         self.arrivals = DemandEstimate(half_life=_ARRIVALS_HALF_LIFE)
-        self.refusing = False
+        self.is_refusing_requests = False
         self.allowances = RetryAllowances(
             options.retry_ratio, options.retry_slack, options.retry_window
         )
@@ -126,18 +126,18 @@
             guard,
         )
 
-    def use(self, options: DispatchOptions) -> None:
+    def apply_options(self, options: DispatchOptions) -> None:
         """Put changed limits of retries in force; what was sent again so far goes on counting."""
         self.allowances.change(options.retry_ratio, options.retry_slack, options.retry_window)
 
     def handle(self, exchange: Exchange) -> None:
         """Answer one request; `CallerGone` passes through."""
-        self.in_progress += 1
+        self.requests_in_progress += 1
         self.arrivals.record(1, steady())
-        self.metrics.in_progress.set(self.in_progress)
+        self.metrics.in_progress.set(self.requests_in_progress)
         request = None
         try:
-            request = self.dialect.read(exchange.head, exchange.body)
+            request = self.dialect.parse_request(exchange.head, exchange.body)
             self._serve(exchange, request)
         except Refusal as refusal:
             self._refuse(exchange, request, refusal)
@@ -147,14 +147,14 @@
             log_event(Event.REQUEST_FAILED, error=repr(error))
             self._refuse(exchange, request, InternalFailure("whinrack failed"))
         finally:
-            self.in_progress -= 1
-            self.metrics.in_progress.set(self.in_progress)
+            self.requests_in_progress -= 1
+            self.metrics.in_progress.set(self.requests_in_progress)
 
     def _serve(self, exchange: Exchange, request: IncomingRequest) -> None:
-        if self.refusing:
+        if self.is_refusing_requests:
             raise RouterStopping("this instance stops", retry_after=BUSY_RETRY_SECONDS)
-        configuration = self.directory.current()
-        route = configuration.route(request.host, request.path)
+        configuration = self.current_configuration.get()
+        route = configuration.find_route(request.host, request.path)
         workspace = configuration.identify(route, request.key)
         run = Run(exchange, request, configuration, route, workspace)
         # What a request did at targets outlives its run, in the whole fleet: without that one that
@@ -174,12 +174,12 @@
                 log_run(
                     Event.COVER_COUNTED,
                     run,
-                    tokens=run.cover.tokens,
-                    output=run.request.cover.output,
+                    tokens=run.reservation.tokens,
+                    output=run.request.declared_tokens.output,
                 )
 
     def _cover(self, run: Run) -> None:
-        declared = run.request.cover
+        declared = run.request.declared_tokens
         if declared is None or run.workspace is None:
             return
         if not self.keeper.limited(run.workspace.name):
@@ -188,7 +188,7 @@
         if isinstance(cover, Failure):
             log_uncovered(run, declared.total, self.keeper)
             raise cover.failure()
-        run.cover = cover.unwrap()
+        run.reservation = cover.unwrap()
 
     # --- attempts ----------------------------------------------------------------
 
@@ -216,14 +216,14 @@
             raise self._final(run, refusal) from refusal
 
     def _choose_pool(self, route: Route) -> str:
-        shares = route.shares
+        shares = route.weighted_pools
         if len(shares) == 1:
             return shares[0].pool
         weights = [share.weight for share in shares]
         return random.choices(shares, weights)[0].pool
 
     def _may_go_on(
-        self, run: Run, failed: AttemptFailed, unreached: int, allowance: RetryAllowance
+        self, run: Run, failed: AttemptFailed, unreached: int, allowance: RetryBudget
     ) -> bool:
         if failed.refusal.outcome is not Outcome.NOT_RUN and not run.route.may_run_again:
             return False
@@ -233,7 +233,7 @@
             return False
         if not failed.counts:
             return True
-        if run.attempts >= run.route.most_attempts:
+        if run.attempts >= run.route.max_attempts:
             self.metrics.retries_denied.labels("attempts").inc()
             return False
         if not allowance.try_take(steady(), self.instances()):
@@ -256,9 +256,9 @@
     ) -> None:
         label = request.request_id.decode("latin-1") if request is not None else ""
         self.metrics.refusals.labels(refusal.code).inc()
-        log_refusal(exchange, label, refusal, self.directory.version)
+        log_refusal(exchange, label, refusal, self.current_configuration.version)
         if exchange.started:
             # The exchange is left without an end: the connection is closed.
             return
-        status, headers, body = self.dialect.refusal(refusal, request)
+        status, headers, body = self.dialect.refusal_response(refusal, request)
         exchange.respond(status, headers, body)
--- a/whinrack/dispatch/_halls.py
+++ b/whinrack/dispatch/_emptied_halls.py
@@ -7,14 +7,14 @@
 
 import msgspec
 
-__all__ = ["EmptiedHalls", "HallWord"]
+__all__ = ["EmptiedHalls", "HallStatus"]
 
 # Words that are kept and told, of halls that are in use again the oldest go first. The largest
 # fleet aimed at has 39 halls; a word is some 20 bytes in each heartbeat.
 _MOST_WORDS = 100
 
 
-class HallWord(msgspec.Struct, frozen=True, array_like=True):
+class HallStatus(msgspec.Struct, frozen=True, array_like=True):
     """What the store said of a data hall at a revision.
 
     Attributes
@@ -28,26 +28,26 @@
 
     hall: str
     version: int
-    emptied: bool
+    is_emptied: bool
 
-    def goes_before(self, other: "HallWord") -> bool:
+    def goes_before(self, other: "HallStatus") -> bool:
         """Whether this is the later word; at one revision a hall is first emptied, then back."""
-        return (self.version, not self.emptied) > (other.version, not other.emptied)
+        return (self.version, not self.is_emptied) > (other.version, not other.is_emptied)
 
 
 class EmptiedHalls:
     """The latest word on each data hall that was ever emptied."""
 
     def __init__(self):
-        self._words: dict[str, HallWord] = {}
+        self._words: dict[str, HallStatus] = {}
         self._emptied: frozenset[str] = frozenset()
 
     @property
-    def emptied(self) -> frozenset[str]:
+    def names(self) -> frozenset[str]:
         """The halls whose targets get nothing."""
         return self._emptied
 
-    def learn(self, word: HallWord) -> bool:
+    def update(self, word: HallStatus) -> bool:
         """Take in a word; True if a hall was emptied or came back by it."""
         known = self._words.get(word.hall)
         if known is not None and not word.goes_before(known):
@@ -55,10 +55,10 @@
         self._words[word.hall] = word
         self._forget()
         was_emptied = word.hall in self._emptied
-        self._emptied = frozenset(name for name, known in self._words.items() if known.emptied)
+        self._emptied = frozenset(name for name, known in self._words.items() if known.is_emptied)
         return was_emptied != (word.hall in self._emptied)
 
-    def not_listed(self, listed: set[str], revision: int) -> list[HallWord]:
+    def released_by_list(self, listed: set[str], revision: int) -> list[HallStatus]:
         """Return the words that a whole list of the store says by what isn't in it.
 
         Parameters
@@ -69,19 +69,19 @@
             Of the list; words that are later than it are not touched.
         """
         return [
-            HallWord(word.hall, word.version, emptied=False)
+            HallStatus(word.hall, word.version, is_emptied=False)
             for word in self._words.values()
-            if word.emptied and word.hall not in listed and word.version <= revision
+            if word.is_emptied and word.hall not in listed and word.version <= revision
         ]
 
-    def words(self) -> list[HallWord]:
+    def statuses(self) -> list[HallStatus]:
         """Return every word, for the peers."""
         return list(self._words.values())
 
     def _forget(self) -> None:
         """Drop the oldest words on halls that are in use again."""
         back = sorted(
-            (word for word in self._words.values() if not word.emptied),
+            (word for word in self._words.values() if not word.is_emptied),
             key=lambda word: word.version,
         )
         for word in back[: max(0, len(self._words) - _MOST_WORDS)]:
--- a/whinrack/dispatch/_rate_bounds.py
+++ b/whinrack/dispatch/_rate_bounds.py
@@ -41,7 +41,7 @@
     """
 
     rate: float
-    most: float
+    max_requests: float
     window: float
     used_part: float
     most_depth: float
@@ -61,7 +61,7 @@
     overage: float = 1.0
     slack: float = 0.0
 
-    def bound(self, rate: float) -> RateBound:
+    def rate_bound(self, rate: float) -> RateBound:
         """Return the bound of a target that bears some requests a second."""
         most = rate * self.overage + self.slack
         return RateBound(rate, most, 1.0, _WARM_UP_USED_PART, _WARM_UP_DEPTH)
@@ -99,7 +99,7 @@
     """
     if is_whole and bound.whole_at_times:
         return _share_of_whole(bound, members)
-    half = bound.most / _SEPARATE_VIEWS
+    half = bound.max_requests / _SEPARATE_VIEWS
     spare = half - bound.used_part * bound.rate * bound.window
     most_holders = max(_FEWEST_HOLDERS, int(bound.rate / _RATE_OF_A_HOLDER))
     holders = max(1, min(most_holders, int(spare), members))
@@ -114,7 +114,7 @@
     Each has room for a request on its way and for one saved up. With few holders callers of the
     other instances were refused though the targets took more than all callers brought.
     """
-    spare = bound.most - bound.rate * bound.window
+    spare = bound.max_requests - bound.rate * bound.window
     holders = max(1, min(int(spare / 2.0), members))
     depth = min(bound.most_depth, max(1.0, spare / holders - 1.0))
     return RateShare(holders, bound.rate / holders, depth)
--- a/whinrack/dispatch/_bearing.py
+++ b/whinrack/dispatch/_rate_limiter.py
@@ -9,14 +9,14 @@
 from whinrack.dispatch._target_state import TargetState
 from whinrack.dispatch._values import ColdStart
 
-__all__ = ["Bearing"]
+__all__ = ["RateLimiter"]
 
 # A permit is good for so long. Connections that were waited for at a cut link are made at one
 # moment when it heals, and permits of many seconds would be spent at once.
 _PERMIT_SECONDS = 0.5
 
 
-class Bearing:
+class RateLimiter:
     """What targets take, and this instance's part of it.
 
     Parameters
@@ -30,7 +30,7 @@
     def __init__(self, limits: StatedLimits, permits: SharedRatePermits, warm_up: WarmUpLimits):
         self.limits = limits
         self.permits = permits
-        self.warm_up = warm_up
+        self.warm_up_limits = warm_up
 
     def binds_nothing(self, cold_start: ColdStart | None) -> bool:
         """Whether no target of a pool can be bound now, which is known without a look at each."""
@@ -43,21 +43,21 @@
         stated = self.limits.rate(state.record.identity)
         cold = state.is_cold(cold_start, now)
         if stated == NO_LIMIT:
-            return self.warm_up.bound(cold_start.rate) if cold else None
+            return self.warm_up_limits.rate_bound(cold_start.rate) if cold else None
         if cold and cold_start.rate < stated:
-            return self.warm_up.bound(cold_start.rate)
+            return self.warm_up_limits.rate_bound(cold_start.rate)
         return stated_bound(stated)
 
     def is_limited(self, state: TargetState) -> bool:
         """Whether a target states a limit."""
         return self.limits.rate(state.record.identity) != NO_LIMIT
 
-    def share(self, target: str) -> float:
+    def permitted_rate(self, target: str) -> float:
         """Return the requests a second that this instance may send to a limited target."""
         rate = self.limits.rate(target)
         if rate == NO_LIMIT:
             return NO_LIMIT
-        shares = self.permits.held({target: stated_bound(rate)})
+        shares = self.permits.held_shares({target: stated_bound(rate)})
         return shares[target].rate if shares else 0.0
 
     def may_send(self, state: TargetState, cold_start: ColdStart | None, now: float) -> bool:
@@ -69,7 +69,7 @@
         most = self.permits.most_unanswered(target, bound)
         if self.is_limited(state) and state.unanswered >= most:
             return False
-        return self.permits.holds(target, bound, now, self.limits.silent(target))
+        return self.permits.has_permit(target, bound, now, self.limits.silent(target))
 
     def asks_again(self, state: TargetState, cold_start: ColdStart | None, now: float) -> bool:
         """Whether to send a limited target a request to learn if the limit holds.
@@ -88,7 +88,7 @@
         if bound is None:
             return None
         target = state.record.identity
-        self.permits.take(target, bound, now, self.limits.silent(target))
+        self.permits.take_permit(target, bound, now, self.limits.silent(target))
         return now + _PERMIT_SECONDS
 
     def still_takes(
--- a/whinrack/dispatch/_turning_away.py
+++ b/whinrack/dispatch/_refusals.py
@@ -40,7 +40,7 @@
 
 def why_nobody(registry: TargetRegistry, pool: PoolRecord, now: float) -> Refusal:
     """Return the refusal of a request for a pool none of whose targets takes it."""
-    states = registry.of_pool(pool.name)
+    states = registry.targets_in_pool(pool.name)
     backoffs = [registry.backoff_left(state, now) for state in states if registry.is_in_use(state)]
     first_end = min((left for left in backoffs if left), default=None)
     few = _all_take_few(registry, pool, now)
@@ -68,15 +68,17 @@
 
     None if one of them takes more, or there is none.
     """
-    bearing, cold_start = registry.bearing, pool.cold_start
-    states = [state for state in registry.of_pool(pool.name) if registry.may_be_sent(state, now)]
+    bearing, cold_start = registry.rate_limiter, pool.cold_start
+    states = [
+        state for state in registry.targets_in_pool(pool.name) if registry.may_be_sent(state, now)
+    ]
     bounds = {state.record.identity: bearing.bound(state, cold_start, now) for state in states}
     if not states or None in bounds.values():
         return None
-    wait = registry.permits.wait(bounds, now)
+    wait = registry.rate_permits.wait(bounds, now)
     only_cold = [state for state in states if not bearing.is_limited(state)]
     if only_cold:
-        warm_at = min(state.warmth.cold_until(cold_start.seconds) for state in only_cold)
+        warm_at = min(state.cold_state.cold_until(cold_start.seconds) for state in only_cold)
         wait = min(warm_at - now, wait)
     if len(only_cold) == len(states):
         return TargetsCold("the targets have just started", retry_after=wait)
@@ -88,7 +90,7 @@
 
     None if that isn't why the pool takes no request.
     """
-    states = [state for state in registry.of_pool(pool.name) if not state.leaving]
+    states = [state for state in registry.targets_in_pool(pool.name) if not state.leaving]
     if not states or any(map(registry.is_in_use, states)):
         return None
     return now - max(registry.emptied_at[state.record.data_hall] for state in states)
--- a/whinrack/dispatch/_registry.py
+++ b/whinrack/dispatch/_registry.py
@@ -8,14 +8,14 @@
 
 from whinrack.clock import steady
 from whinrack.dispatch._backoffs import Backoffs
-from whinrack.dispatch._bearing import Bearing
-from whinrack.dispatch._choice import TargetChoice
-from whinrack.dispatch._halls import EmptiedHalls, HallWord
-from whinrack.dispatch._loads import LoadsElsewhere
-from whinrack.dispatch._placement import PromptNeed
+from whinrack.dispatch._emptied_halls import EmptiedHalls, HallStatus
+from whinrack.dispatch._engine_choice import PromptNeed
 from whinrack.dispatch._rate_bounds import WarmUpLimits
+from whinrack.dispatch._rate_limiter import RateLimiter
+from whinrack.dispatch._remote_loads import RemoteLoads
 from whinrack.dispatch._shared_rates import SharedRatePermits
 from whinrack.dispatch._stated_limits import StatedLimits
+from whinrack.dispatch._target_choice import TargetChoice
 from whinrack.dispatch._target_state import TargetState
 from whinrack.dispatch._values import ColdStart, TargetRecord
 
@@ -34,11 +34,11 @@
     ----------
     seed : int, optional
         Seeds the choice between equals.
-    permits : SharedRatePermits, optional
+    rate_permits : SharedRatePermits, optional
         What this instance may send to targets that take few requests; by default all of it.
-    warm_up : WarmUpLimits, optional
+    warm_up_limits : WarmUpLimits, optional
         What cold targets bear.
-    limits : StatedLimits, optional
+    stated_limits : StatedLimits, optional
         What targets say that they take.
     clock : callable, optional
         The steady clock, replaced in tests.
@@ -47,17 +47,19 @@
     def __init__(
         self,
         seed: int | None = None,
-        permits: SharedRatePermits | None = None,
-        warm_up: WarmUpLimits | None = None,
-        limits: StatedLimits | None = None,
+        rate_permits: SharedRatePermits | None = None,
+        warm_up_limits: WarmUpLimits | None = None,
+        stated_limits: StatedLimits | None = None,
         clock: Callable[[], float] = steady,
     ):
         self.clock = clock
-        self.limits = limits or StatedLimits(clock=clock)
-        self.permits = permits or SharedRatePermits.of_one_instance()
-        self.bearing = Bearing(self.limits, self.permits, warm_up or WarmUpLimits())
+        self.stated_limits = stated_limits or StatedLimits(clock=clock)
+        self.rate_permits = rate_permits or SharedRatePermits.of_one_instance()
+        self.rate_limiter = RateLimiter(
+            self.stated_limits, self.rate_permits, warm_up_limits or WarmUpLimits()
+        )
         self.backoffs = Backoffs()
-        self.halls = EmptiedHalls()
+        self.emptied_halls = EmptiedHalls()
         # When it was learnt that a hall is emptied.
         self.emptied_at: dict[str, float] = {}
         self._targets: dict[str, TargetState] = {}
@@ -68,19 +70,23 @@
         # Called with each target of which a later start took the place.
         self.ended: list[Callable[[TargetState], None]] = []
         # Called when a target has said in an answer that it leaves, and that is news.
-        self.heard_leaving: list[Callable[[], None]] = []
-        self.elsewhere = LoadsElsewhere()
-        self._choice = TargetChoice(self.elsewhere, self.bearing, seed)
+        self.on_target_leaving: list[Callable[[], None]] = []
+        self.remote_loads = RemoteLoads()
+        self._choice = TargetChoice(self.remote_loads, self.rate_limiter, seed)
 
-    def loads(self) -> dict[int, int]:
+    def requests_by_target(self) -> dict[int, int]:
         """Return the requests in flight from here, by the targets' digests."""
         return {
             state.digest: state.in_flight for state in self._targets.values() if state.in_flight
         }
 
-    def unread(self) -> dict[int, int]:
+    def unread_tokens(self) -> dict[int, int]:
         """Return the prompt tokens to be read for requests from here, by targets' digests."""
-        return {state.digest: state.unread for state in self._targets.values() if state.unread}
+        return {
+            state.digest: state.unread_tokens
+            for state in self._targets.values()
+            if state.unread_tokens
+        }
 
     def replace_all(self, records: Collection[TargetRecord]) -> list[str]:
         """Take in a whole list; returns the incarnations that are new to leaving."""
@@ -90,7 +96,7 @@
 
     def put(self, record: TargetRecord) -> bool:
         """Take in one record; True if the target turned to leaving by it."""
-        if record.leaving:
+        if record.is_leaving:
             self._note_left(record.incarnation, record.started)
         state = self._targets.get(record.incarnation)
         if state is not None and record.is_other_start(state.record):
@@ -100,7 +106,7 @@
             state = None
         if state is None:
             state = self._targets[record.incarnation] = TargetState(record)
-            state.warmth.told(record.cold_left, self.clock())
+            state.cold_state.told(record.cold_seconds_left, self.clock())
             state.told_leaving = (record.incarnation, record.started) in self._left
             self._pools.setdefault(record.pool, {})[record.incarnation] = state
             return state.leaving
@@ -108,13 +114,16 @@
             # Without its start the record tells of the one that is known.
             record = msgspec.structs.replace(record, started=state.record.started)
         was_leaving = state.leaving
-        if state.record.leaving and not record.leaving:
+        if state.record.is_leaving and not record.is_leaving:
             # A run that is leaving doesn't come back; the record is an old one.
             return False
         if record.pool != state.record.pool:
             self._move(state, record)
-        if (record.version, record.cold_left) != (state.record.version, state.record.cold_left):
-            state.warmth.told(record.cold_left, self.clock())
+        if (record.version, record.cold_seconds_left) != (
+            state.record.version,
+            state.record.cold_seconds_left,
+        ):
+            state.cold_state.told(record.cold_seconds_left, self.clock())
         state.record = record
         state.gone = False
         if state.leaving:
@@ -135,7 +144,7 @@
 
     def _end_earlier(self, state: TargetState) -> None:
         """Learn from another start's record that one has ended."""
-        state.replaced = not (state.record.leaving or state.told_leaving)
+        state.replaced = not (state.record.is_leaving or state.told_leaving)
         state.gone = True
         self._drop(state)
         for ended in self.ended:
@@ -146,23 +155,23 @@
         if self._targets.get(state.record.incarnation) is state:
             self.remove(state.record.incarnation)
 
-    def learn_of_hall(self, word: HallWord) -> bool:
+    def update_hall(self, word: HallStatus) -> bool:
         """Take in a word on a data hall; True if it was emptied or came back by it."""
-        if not self.halls.learn(word):
+        if not self.emptied_halls.update(word):
             return False
         now = self.clock()
-        if word.emptied:
+        if word.is_emptied:
             self.emptied_at[word.hall] = now
         else:
             self.emptied_at.pop(word.hall, None)
             for state in self._targets.values():
                 if state.record.data_hall == word.hall:
-                    state.warmth.hall_back(now)
+                    state.cold_state.hall_back(now)
         return True
 
     def is_in_use(self, state: TargetState) -> bool:
         """Whether a target takes requests at all: it doesn't leave, nor is its hall emptied."""
-        return not state.leaving and state.record.data_hall not in self.halls.emptied
+        return not state.leaving and state.record.data_hall not in self.emptied_halls.names
 
     def backoff_left(self, state: TargetState, now: float) -> float:
         """Return the seconds for which a target takes nothing from this instance."""
@@ -172,7 +181,7 @@
         """Whether nothing that is known now forbids to send a request to a target."""
         return self.is_in_use(state) and not self.backoff_left(state, now)
 
-    def leave(self, incarnation: str, started: int = 0) -> bool:
+    def mark_leaving(self, incarnation: str, started: int = 0) -> bool:
         """Learn from the target or a peer that a target is leaving; True if that is news.
 
         Parameters
@@ -189,13 +198,13 @@
         state.told_leaving = True
         return True
 
-    def leaving(self) -> list[TargetRecord]:
+    def leaving_records(self) -> list[TargetRecord]:
         """Return the records of targets that said that they leave, the latest last."""
         known = (self._targets.get(incarnation) for incarnation, _ in self._left)
         return [
             state.record
             for state in dict.fromkeys(known)
-            if state is not None and (state.record.leaving or state.told_leaving)
+            if state is not None and (state.record.is_leaving or state.told_leaving)
         ]
 
     def at_address(self, address: tuple[str, int]) -> set[str]:
@@ -204,7 +213,7 @@
             state.record.identity for state in self._targets.values() if state.address == address
         }
 
-    def of_pool(self, pool: str) -> list[TargetState]:
+    def targets_in_pool(self, pool: str) -> list[TargetState]:
         """Return every known target of a pool."""
         return list(self._pools.get(pool, {}).values())
 
@@ -216,7 +225,7 @@
             state.record.identity not in tried
             and state.takes_work(now)
             and self.may_be_sent(state, now)
-            and self.bearing.may_send(state, cold_start, now)
+            and self.rate_limiter.may_send(state, cold_start, now)
             for state in self._pools.get(pool, {}).values()
         )
 
@@ -272,9 +281,11 @@
             rank,
         )
 
-    def cold(self, pool: str, cold_start: ColdStart | None, now: float) -> list[TargetState]:
+    def cold_targets(
+        self, pool: str, cold_start: ColdStart | None, now: float
+    ) -> list[TargetState]:
         """Return the targets of a pool that are cold."""
-        return [state for state in self.of_pool(pool) if state.is_cold(cold_start, now)]
+        return [state for state in self.targets_in_pool(pool) if state.is_cold(cold_start, now)]
 
     def started(self, state: TargetState, cold_start: ColdStart | None = None) -> float | None:
         """Count a request that is to be sent to a target.
@@ -285,16 +296,16 @@
             Until when its permit is good, steady clock; None if it needs none.
         """
         state.in_flight += 1
-        return self.bearing.take(state, cold_start, self.clock())
+        return self.rate_limiter.take(state, cold_start, self.clock())
 
     def still_takes(
         self, state: TargetState, cold_start: ColdStart | None, permit_until: float | None
     ) -> bool:
-        """Whether a request that was started may be sent now; see `Bearing.still_takes`."""
+        """Whether a request that was started may be sent now; see `RateLimiter.still_takes`."""
         now = self.clock()
         if not self.may_be_sent(state, now):
             return False
-        return self.bearing.still_takes(state, cold_start, permit_until, now)
+        return self.rate_limiter.still_takes(state, cold_start, permit_until, now)
 
     def finished(self, state: TargetState) -> None:
         """Count a request that ended, in whatever way."""
--- a/whinrack/dispatch/_loads.py
+++ b/whinrack/dispatch/_remote_loads.py
@@ -2,7 +2,7 @@
 
 from collections import Counter
 
-__all__ = ["LoadsElsewhere"]
+__all__ = ["RemoteLoads"]
 
 # Counts of an instance that was not heard for so long don't count any more, seconds.
 _FRESH_SECONDS = 1.5
@@ -25,7 +25,7 @@
         return self._totals[digest]
 
 
-class LoadsElsewhere:
+class RemoteLoads:
     """Sums up what other instances say of their requests in flight.
 
     Targets are named by short numbers, see `TargetState.digest`.
@@ -36,7 +36,7 @@
         self._unread = _Sum()
         self._heard_at: dict[str, float] = {}
 
-    def heard(
+    def update(
         self,
         instance: str,
         counts: dict[int, int],
--- a/whinrack/dispatch/_run.py
+++ b/whinrack/dispatch/_request_run.py
@@ -3,7 +3,7 @@
 from whinrack.budgets import Cover
 from whinrack.clock import steady
 from whinrack.dispatch._configuration import Configuration
-from whinrack.dispatch._placement import PromptNeed
+from whinrack.dispatch._engine_choice import PromptNeed
 from whinrack.dispatch._target_state import Reading
 from whinrack.dispatch._values import (
     IncomingRequest,
@@ -62,8 +62,8 @@
         self.configuration = configuration
         self.route = route
         self.workspace = workspace
-        self.end = exchange.arrived + min(request.deadline or route.timeout, route.timeout)
-        self.cover: Cover | None = None
+        self.end = exchange.arrived + min(request.deadline_seconds or route.timeout, route.timeout)
+        self.reservation: Cover | None = None
         self.billed = 0
         self.attempts = 0
         self.tried: set[str] = set()
@@ -121,10 +121,10 @@
     @property
     def prompt(self) -> PromptNeed | None:
         """What has to be read for the request, None if its caller doesn't say."""
-        if self.request.cover is None:
+        if self.request.declared_tokens is None:
             return None
         shared = sum(part.tokens for part in self.request.prompt_parts[:-1])
-        return PromptNeed(self.request.cover.prompt, shared)
+        return PromptNeed(self.request.declared_tokens.prompt, shared)
 
     def seconds_left(self) -> float:
         """Time until the caller or the route gives up."""
@@ -147,8 +147,8 @@
 
     def settle_not_run(self) -> None:
         """Give the whole cover back: no target worked on the request."""
-        if self.cover is not None:
-            self.cover.settle(0)
+        if self.reservation is not None:
+            self.reservation.settle(0)
 
     def settle_whole(self, pool: PoolRecord) -> None:
         """Bill what the target handed out in an answer that is known to be whole."""
@@ -169,18 +169,18 @@
         bool
             False if there was no cover, or it was settled by a known end.
         """
-        if self.cover is None:
+        if self.reservation is None:
             return False
-        return self.cover.settle(0, unproven=self.cover.tokens)
+        return self.reservation.settle(0, unproven=self.reservation.tokens)
 
     def _bill(self, pool: PoolRecord, events: int) -> None:
-        if self.cover is None:
+        if self.reservation is None:
             return
-        declared = self.request.cover
-        event_tokens = pool.engine.event_tokens if pool.engine is not None else 1
+        declared = self.request.declared_tokens
+        event_tokens = pool.engine.max_event_tokens if pool.engine is not None else 1
         made = events * event_tokens
         if self.attempts > 1 and self.may_have_run:
             # An earlier target may have handed out events that never came here.
             made += declared.output
         self.billed = min(declared.total, declared.prompt + made)
-        self.cover.settle(self.billed)
+        self.reservation.settle(self.billed)
--- a/whinrack/dispatch/_retries.py
+++ b/whinrack/dispatch/_retries.py
@@ -2,13 +2,13 @@
 
 from collections import deque
 
-__all__ = ["RetryAllowance", "RetryAllowances"]
+__all__ = ["RetryBudget", "RetryAllowances"]
 
 # Windows slide, and instances disagree on how many there are.
 _SAFETY = 0.7
 
 
-class RetryAllowance:
+class RetryBudget:
     """Permits further attempts at the targets of one pool within sliding windows.
 
     Parameters
@@ -22,7 +22,7 @@
 
     Examples
     --------
-    >>> allowance = RetryAllowance(ratio=0.0, slack=2.0, window=10.0)
+    >>> allowance = RetryBudget(ratio=0.0, slack=2.0, window=10.0)
     >>> allowance.try_take(0.0, instances=1), allowance.try_take(0.1, instances=1)
     (True, False)
     >>> allowance.try_take(10.2, instances=1)
@@ -61,7 +61,7 @@
 
 
 class RetryAllowances:
-    """The allowance of each pool, all with the same limits; see `RetryAllowance`.
+    """The allowance of each pool, all with the same limits; see `RetryBudget`.
 
     Parameters
     ----------
@@ -72,13 +72,13 @@
         self.ratio = ratio
         self.slack = slack
         self.window = window
-        self._of_pools: dict[str, RetryAllowance] = {}
+        self._of_pools: dict[str, RetryBudget] = {}
 
-    def of(self, pool: str) -> RetryAllowance:
+    def of(self, pool: str) -> RetryBudget:
         """Return the allowance of a pool."""
         allowance = self._of_pools.get(pool)
         if allowance is None:
-            allowance = RetryAllowance(self.ratio, self.slack, self.window)
+            allowance = RetryBudget(self.ratio, self.slack, self.window)
             self._of_pools[pool] = allowance
         return allowance
 
--- a/whinrack/dispatch/_run_log.py
+++ b/whinrack/dispatch/_run_log.py
@@ -2,7 +2,7 @@
 
 from whinrack.budgets import GrantKeeper
 from whinrack.clock import steady
-from whinrack.dispatch._run import Run
+from whinrack.dispatch._request_run import Run
 from whinrack.exceptions import Refusal
 from whinrack.http1 import Exchange
 from whinrack.observability import Event, log_event
--- a/whinrack/dispatch/_shared_rates.py
+++ b/whinrack/dispatch/_shared_rates.py
@@ -57,7 +57,7 @@
     members : callable
         Returns the names of the instances that callers come to, this one included; empty while
         it isn't known who is there.
-    is_whole : callable, optional
+    is_complete : callable, optional
         Returns whether no instance that was there is missing.
     """
 
@@ -65,13 +65,13 @@
         self,
         name: str,
         members: Callable[[], Collection[str]],
-        is_whole: Callable[[], bool] = lambda: False,
+        is_complete: Callable[[], bool] = lambda: False,
     ):
         self.name = name
         self.members = members
-        self.is_whole = is_whole
+        self.is_complete = is_complete
         # Requests that found no permit, in all.
-        self.turned_away_count = 0
+        self.refused_count = 0
         self._buckets: dict[str, _Bucket] = {}
         # Of targets and their bounds, for the members that were there last; with each share the
         # place of this instance among those that may hold it.
@@ -88,7 +88,7 @@
         """Return the permits of an instance that has no peers."""
         return cls("", lambda: [""], lambda: True)
 
-    def holds(self, target: str, bound: RateBound, now: float, silent: float = 0.0) -> bool:
+    def has_permit(self, target: str, bound: RateBound, now: float, silent: float = 0.0) -> bool:
         """Whether a request may be sent to a target now.
 
         Parameters
@@ -99,7 +99,7 @@
         bucket = self._filled(target, bound, now, silent)
         return bucket is not None and bucket.permits >= 1.0
 
-    def take(self, target: str, bound: RateBound, now: float, silent: float = 0.0) -> None:
+    def take_permit(self, target: str, bound: RateBound, now: float, silent: float = 0.0) -> None:
         """Use up a permit."""
         bucket = self._filled(target, bound, now, silent)
         if bucket is not None:
@@ -113,7 +113,7 @@
         share, _ = self._share_and_place(target, bound)
         if not share.holders:
             return 1
-        of_a_holder = bound.most / share.holders - share.depth - share.rate * bound.window
+        of_a_holder = bound.max_requests / share.holders - share.depth - share.rate * bound.window
         return max(1, int(of_a_holder))
 
     def yields(self, rank: int, now: float) -> bool:
@@ -124,7 +124,7 @@
 
     def turned_away(self, rank: int, now: float) -> None:
         """Learn that a request found no permit."""
-        self.turned_away_count += 1
+        self.refused_count += 1
         self._turned_away[rank] = now
 
     def wait(self, bounds: Mapping[str, RateBound], now: float) -> float:
@@ -138,7 +138,7 @@
         while self._waiting and now - self._waiting[0] > _WAITING_SECONDS:
             self._waiting.popleft()
         self._waiting.append(now)
-        permits = sum(share.rate for share in self.held(bounds).values())
+        permits = sum(share.rate for share in self.held_shares(bounds).values())
         if permits > 0.0:
             return min(_LONGEST_WAIT_SECONDS, len(self._waiting) / permits)
         ahead = len(self._waiting) - 1
@@ -147,7 +147,7 @@
             return _NO_PERMITS_SECONDS
         return min(_LONGEST_WAIT_SECONDS, max(_NO_PERMITS_SECONDS, ahead / fair))
 
-    def held(self, bounds: Mapping[str, RateBound]) -> dict[str, RateShare]:
+    def held_shares(self, bounds: Mapping[str, RateBound]) -> dict[str, RateShare]:
         """Return the shares of this instance in some targets, without those it has none of."""
         shares = {target: self._share(target, bound) for target, bound in bounds.items()}
         return {target: share for target, share in shares.items() if share is not None}
@@ -157,7 +157,7 @@
         count = len(self.members())
         if not count:
             return 0.0
-        shares = [share_of(bound, count, self.is_whole()) for bound in bounds.values()]
+        shares = [share_of(bound, count, self.is_complete()) for bound in bounds.values()]
         return sum(share.rate * share.holders for share in shares) / count
 
     def _share(self, target: str, bound: RateBound) -> RateShare | None:
@@ -166,7 +166,7 @@
         return share if place < share.holders else None
 
     def _share_and_place(self, target: str, bound: RateBound) -> tuple[RateShare, int]:
-        members, is_whole = frozenset(self.members()), self.is_whole()
+        members, is_whole = frozenset(self.members()), self.is_complete()
         is_changed = (members, is_whole) != (self._shared_by, self._shared_whole)
         if is_changed or len(self._shares) > _MOST_BUCKETS:
             self._shares.clear()
--- a/whinrack/dispatch/_stated_limits.py
+++ b/whinrack/dispatch/_stated_limits.py
@@ -15,7 +15,7 @@
 from whinrack.clock import steady
 from whinrack.dispatch._rate_bounds import RateBound
 
-__all__ = ["NO_LIMIT", "LimitChange", "LimitWord", "StatedLimits", "stated_bound"]
+__all__ = ["NO_LIMIT", "LimitChange", "LimitReport", "StatedLimits", "stated_bound"]
 
 # Stands for the word of a target that states no limit.
 NO_LIMIT = math.inf
@@ -48,7 +48,7 @@
     return RateBound(max(rate, _LEAST_RATE), most, _WINDOW_SECONDS, _USED_PART, _MOST_DEPTH, True)
 
 
-class LimitWord(msgspec.Struct, frozen=True, array_like=True):
+class LimitReport(msgspec.Struct, frozen=True, array_like=True):
     """What a target stated, as instances tell it each other.
 
     Attributes
@@ -67,7 +67,7 @@
 
     target: str
     rate: float
-    hearer: int
+    observer: int
     number: int
     age: float
 
@@ -90,7 +90,7 @@
     """
 
     target: str
-    before: float
+    previous_rate: float
     rate: float
     source: str
     age: float = 0.0
@@ -108,9 +108,9 @@
         # Heartbeats that have told it.
         self.told = 0
 
-    def is_same(self, word: LimitWord) -> bool:
+    def is_same(self, word: LimitReport) -> bool:
         """Whether a peer tells this very word."""
-        return (self.hearer, self.number) == (word.hearer, word.number)
+        return (self.hearer, self.number) == (word.observer, word.number)
 
 
 class StatedLimits:
@@ -131,7 +131,7 @@
 
     def __init__(self, run: str = "", clock: Callable[[], float] = steady):
         self.clock = clock
-        self.changed: list[Callable[[LimitChange], None]] = []
+        self.on_change: list[Callable[[LimitChange], None]] = []
         self._run = xxhash.xxh32_intdigest(run.encode())
         self._number = 0
         self._words: dict[str, _Known] = {}
@@ -146,7 +146,7 @@
         """Whether no target has stated anything."""
         return not self._words
 
-    def limited(self) -> list[str]:
+    def limited_targets(self) -> list[str]:
         """Return the identities of the targets that state a limit."""
         return [target for target, known in self._words.items() if known.rate != NO_LIMIT]
 
@@ -159,7 +159,7 @@
         """Whether a target that states a limit should be sent a request to learn if it holds."""
         return self.silent(target) >= _ASKED_AGAIN_SECONDS
 
-    def hear(self, target: str, rate: float, sent_at: float, request: str = "") -> None:
+    def record_answer(self, target: str, rate: float, sent_at: float, request: str = "") -> None:
         """Take in what an answer of a target said.
 
         Parameters
@@ -180,33 +180,33 @@
         self._number += 1
         self._take(target, _Known(rate, at, self._run, self._number), "answer", request)
 
-    def learn(self, words: Iterable[LimitWord], peer: str) -> None:
+    def merge_reports(self, words: Iterable[LimitReport], peer: str) -> None:
         """Take in what a peer tells; the latest word of a target wins."""
         for word in words:
             if word.rate >= 0.0 and 0.0 <= word.age <= _FORGET_SECONDS:
                 self._learn(word, peer)
 
-    def _learn(self, word: LimitWord, peer: str) -> None:
+    def _learn(self, word: LimitReport, peer: str) -> None:
         at = self.clock() - word.age
         known = self._words.get(word.target)
         if known is not None and known.is_same(word):
             # The way from peer to peer makes a word look younger, never older.
             known.at = min(known.at, at)
         elif known is None or at > known.at:
-            self._take(word.target, _Known(word.rate, at, word.hearer, word.number), peer)
+            self._take(word.target, _Known(word.rate, at, word.observer, word.number), peer)
 
-    def to_tell(self) -> list[LimitWord]:
+    def next_reports(self) -> list[LimitReport]:
         """Return some words for the next heartbeat, those told least often first."""
         chosen = sorted(self._words.items(), key=lambda item: item[1].told)[:_MOST_TOLD]
         for _, known in chosen:
             known.told += 1
         now = self.clock()
         return [
-            LimitWord(target, known.rate, known.hearer, known.number, round(now - known.at, 3))
+            LimitReport(target, known.rate, known.hearer, known.number, round(now - known.at, 3))
             for target, known in chosen
         ]
 
-    def forget(self) -> None:
+    def drop_expired(self) -> None:
         """Drop the words that nobody heard again for long."""
         now = self.clock()
         for target, known in list(self._words.items()):
@@ -229,5 +229,5 @@
         self._tell(LimitChange(target, before, word.rate, source, age, request))
 
     def _tell(self, change: LimitChange) -> None:
-        for changed in self.changed:
+        for changed in self.on_change:
             changed(change)
--- a/whinrack/dispatch/_statements.py
+++ b/whinrack/dispatch/_statements.py
@@ -38,12 +38,12 @@
     """
 
     did_not_run: bool = False
-    is_other_target: bool = False
-    leaving: bool = False
+    is_misdirected: bool = False
+    is_leaving: bool = False
     retry_after: float = 0.0
-    limit: float | None = NO_LIMIT
-    unreadable: tuple[str, ...] = ()
-    unknown: tuple[str, ...] = ()
+    rate_limit: float | None = NO_LIMIT
+    unreadable_fields: tuple[str, ...] = ()
+    unknown_fields: tuple[str, ...] = ()
 
 
 class StatementIntake:
@@ -74,15 +74,17 @@
         request : str
             The request's id, for the log.
         """
-        for field in statement.unreadable:
+        for field in statement.unreadable_fields:
             self.metrics.unreadable_statements.labels(field).inc()
-        for field in statement.unknown:
+        for field in statement.unknown_fields:
             self._count_unknown(field, state, request)
-        if statement.is_other_target:
+        if statement.is_misdirected:
             return
-        if statement.limit is not None:
-            self.registry.limits.hear(state.record.identity, statement.limit, sent_at, request)
-        if statement.leaving:
+        if statement.rate_limit is not None:
+            self.registry.stated_limits.record_answer(
+                state.record.identity, statement.rate_limit, sent_at, request
+            )
+        if statement.is_leaving:
             self._hear_leaving(state, request)
         if statement.retry_after > 0.0:
             self._hear_backoff(state, statement.retry_after, request)
@@ -102,10 +104,10 @@
 
     def _hear_leaving(self, state: TargetState, request: str) -> None:
         record = state.record
-        if not self.registry.leave(record.incarnation, record.started):
+        if not self.registry.mark_leaving(record.incarnation, record.started):
             return
         log_event(Event.TARGET_LEAVING, target=record.incarnation, source="answer", request=request)
-        for heard in self.registry.heard_leaving:
+        for heard in self.registry.on_target_leaving:
             heard()
 
     def _hear_backoff(self, state: TargetState, seconds: float, request: str) -> None:
--- a/whinrack/dispatch/_choice.py
+++ b/whinrack/dispatch/_target_choice.py
@@ -5,9 +5,9 @@
 from collections.abc import Callable
 
 from whinrack.base import rendezvous
-from whinrack.dispatch._bearing import Bearing
-from whinrack.dispatch._loads import LoadsElsewhere
-from whinrack.dispatch._placement import EngineLoad, PromptNeed, choose_engine
+from whinrack.dispatch._engine_choice import EngineLoad, PromptNeed, choose_engine
+from whinrack.dispatch._rate_limiter import RateLimiter
+from whinrack.dispatch._remote_loads import RemoteLoads
 from whinrack.dispatch._target_state import TargetState
 from whinrack.dispatch._values import ColdStart
 
@@ -29,15 +29,15 @@
 
     Parameters
     ----------
-    elsewhere : LoadsElsewhere
+    elsewhere : RemoteLoads
         What other instances have at the targets.
-    bearing : Bearing
+    bearing : RateLimiter
         Which targets take few requests, and what this instance may send them.
     seed : int, optional
         Seeds the choice between equals.
     """
 
-    def __init__(self, elsewhere: LoadsElsewhere, bearing: Bearing, seed: int | None = None):
+    def __init__(self, elsewhere: RemoteLoads, bearing: RateLimiter, seed: int | None = None):
         self.elsewhere = elsewhere
         self.bearing = bearing
         self._random = random.Random(seed)
@@ -119,7 +119,7 @@
     def _engine_load(self, state: TargetState) -> EngineLoad:
         return EngineLoad(
             name=state.record.incarnation,
-            unread=state.unread + self.elsewhere.unread_at(state.digest),
+            unread=state.unread_tokens + self.elsewhere.unread_at(state.digest),
             requests=self._load_everywhere(state),
             slots=state.record.slots,
         )
--- a/whinrack/dispatch/_target_state.py
+++ b/whinrack/dispatch/_target_state.py
@@ -2,8 +2,8 @@
 
 import xxhash
 
+from whinrack.dispatch._cold_state import ColdState
 from whinrack.dispatch._values import ColdStart, TargetRecord
-from whinrack.dispatch._warmth import Warmth
 from whinrack.ejection import EjectAlone
 
 __all__ = ["Reading", "TargetState"]
@@ -19,14 +19,14 @@
         # Requests sent from here whose answers have not begun.
         self.unanswered = 0
         # Prompt tokens of requests from here that have brought no event yet.
-        self.unread = 0
+        self.unread_tokens = 0
         self.gone = False
         self.told_leaving = False
         # A later start took its place before it had said that it leaves.
         self.replaced = False
         self.busy_until = float("-inf")
         self.ejection = EjectAlone(failures=3, first=1.0, longest=4.0)
-        self.warmth = Warmth()
+        self.cold_state = ColdState()
 
     @property
     def address(self) -> tuple[str, int]:
@@ -36,7 +36,7 @@
     @property
     def leaving(self) -> bool:
         """Whether it takes no new work."""
-        return self.gone or self.told_leaving or self.record.leaving
+        return self.gone or self.told_leaving or self.record.is_leaving
 
     def takes_work(self, now: float) -> bool:
         """Whether a request may be sent to it."""
@@ -45,16 +45,16 @@
     def unreachable(self, now: float) -> None:
         """Learn that no connection could be made."""
         self.ejection.unreachable(now)
-        self.warmth.unreachable(now)
+        self.cold_state.unreachable(now)
 
     def answered(self, now: float) -> None:
         """Learn that it answers."""
         self.ejection.succeeded(now)
-        self.warmth.answered(now)
+        self.cold_state.answered(now)
 
     def is_cold(self, cold_start: ColdStart | None, now: float) -> bool:
         """Whether it bears few requests now, in a pool whose targets are cold at first."""
-        return cold_start is not None and now < self.warmth.cold_until(cold_start.seconds)
+        return cold_start is not None and now < self.cold_state.cold_until(cold_start.seconds)
 
 
 class Reading:
@@ -63,9 +63,9 @@
     def __init__(self, state: TargetState, tokens: int):
         self.state = state
         self.tokens = tokens
-        state.unread += tokens
+        state.unread_tokens += tokens
 
     def end(self) -> None:
         """Learn that they are read, or needn't be; calling it again changes nothing."""
-        self.state.unread -= self.tokens
+        self.state.unread_tokens -= self.tokens
         self.tokens = 0
--- a/whinrack/dispatch/_values.py
+++ b/whinrack/dispatch/_values.py
@@ -10,11 +10,11 @@
 __all__ = [
     "Attempt",
     "ColdStart",
-    "DeclaredCover",
-    "EngineShape",
+    "DeclaredTokens",
+    "EngineCapacity",
     "IncomingRequest",
     "PoolRecord",
-    "PoolShare",
+    "WeightedPool",
     "PromptPart",
     "Route",
     "RouteKind",
@@ -32,7 +32,7 @@
     STREAM = "stream"
 
 
-class PoolShare(msgspec.Struct, frozen=True):
+class WeightedPool(msgspec.Struct, frozen=True):
     """The part of a route's requests that goes to one pool; weights are relative."""
 
     pool: str
@@ -63,19 +63,19 @@
     path_prefix: str
     kind: RouteKind
     timeout: float
-    shares: tuple[PoolShare, ...]
+    weighted_pools: tuple[WeightedPool, ...]
     priority: int = 0
-    most_attempts: int = 1
-    public: bool = False
-    resumable: bool = False
+    max_attempts: int = 1
+    is_public: bool = False
+    is_resumable: bool = False
 
     @property
     def may_run_again(self) -> bool:
         """Whether a request that may have run can be sent to another target."""
-        return self.kind is RouteKind.REPEATABLE or self.resumable
+        return self.kind is RouteKind.REPEATABLE or self.is_resumable
 
 
-class EngineShape(msgspec.Struct, frozen=True):
+class EngineCapacity(msgspec.Struct, frozen=True):
     """What is known of the engines of a pool.
 
     Attributes
@@ -89,8 +89,8 @@
     """
 
     slots: int
-    memory: int
-    event_tokens: int
+    token_capacity: int
+    max_event_tokens: int
 
 
 class ColdStart(msgspec.Struct, frozen=True):
@@ -115,15 +115,15 @@
     ----------
     most_connections : int
         Connections that one target accepts from all instances together.
-    engine : EngineShape or None
+    engine : EngineCapacity or None
         None for plain services.
     cold_start : ColdStart or None
         None if a target that has just started bears as much as others.
     """
 
     name: str
-    most_connections: int
-    engine: EngineShape | None = None
+    max_connections: int
+    engine: EngineCapacity | None = None
     cold_start: ColdStart | None = None
 
 
@@ -133,7 +133,7 @@
     name: str
     keys: tuple[str, ...]
     priority: int | None = None
-    limit: int | None = None
+    token_limit: int | None = None
 
 
 class TargetRecord(msgspec.Struct, frozen=True):
@@ -159,10 +159,10 @@
     port: int
     data_hall: str = ""
     slots: int = 1
-    leaving: bool = False
+    is_leaving: bool = False
     started: int = 0
     version: int = 0
-    cold_left: float | None = 0.0
+    cold_seconds_left: float | None = 0.0
 
     @property
     def identity(self) -> str:
@@ -210,7 +210,7 @@
         return f"{shown_revision(self.revision)}@{self.age:.1f} {self.source}"
 
 
-class DeclaredCover(msgspec.Struct, frozen=True):
+class DeclaredTokens(msgspec.Struct, frozen=True):
     """The most tokens that a request can use, as its caller declares it."""
 
     prompt: int
@@ -256,8 +256,8 @@
     headers: Headers
     body: bytes
     key: str = ""
-    deadline: float | None = None
-    cover: DeclaredCover | None = None
+    deadline_seconds: float | None = None
+    declared_tokens: DeclaredTokens | None = None
     prompt_parts: tuple[PromptPart, ...] = ()
     resume_after: int | None = None
 
--- a/whinrack/dispatch/base.py
+++ b/whinrack/dispatch/base.py
@@ -11,7 +11,7 @@
 class Dialect:
     """Translates heads of requests and answers; takes no decision."""
 
-    def read(self, head: RequestHead, body: bytes) -> IncomingRequest:
+    def parse_request(self, head: RequestHead, body: bytes) -> IncomingRequest:
         """Read a caller's request.
 
         Raises
@@ -20,7 +20,7 @@
         """
         raise NotImplementedError
 
-    def refusal(
+    def refusal_response(
         self, refusal: Refusal, request: IncomingRequest | None
     ) -> tuple[int, Headers, bytes]:
         """Return status, headers and body that tell a caller of a refusal."""
@@ -30,10 +30,10 @@
         """Return the headers of a request to a target."""
         raise NotImplementedError
 
-    def is_answer_to(self, request: IncomingRequest, headers: Headers) -> bool:
+    def is_response_to(self, request: IncomingRequest, headers: Headers) -> bool:
         """Whether an answer belongs to a request."""
         raise NotImplementedError
 
-    def statement(self, head: ResponseHead) -> TargetStatement:
+    def parse_statement(self, head: ResponseHead) -> TargetStatement:
         """Return what an answer states of the target that gave it."""
         raise NotImplementedError
--- a/whinrack/dispatch/tests/limited_fleet.py
+++ b/whinrack/dispatch/tests/limited_fleet.py
@@ -66,9 +66,11 @@
         self.started_at = self.fleet.now
         self._members, self._counted_at = frozenset(), -1.0
         limits = StatedLimits(f"{self.name}-{self.fleet.now}", clock)
-        limits.changed.append(lambda change: self.fleet.spread(self))
+        limits.on_change.append(lambda change: self.fleet.spread(self))
         permits = SharedRatePermits(self.name, self.members, self.is_whole)
-        self.registry = TargetRegistry(seed=1, permits=permits, limits=limits, clock=clock)
+        self.registry = TargetRegistry(
+            seed=1, rate_permits=permits, stated_limits=limits, clock=clock
+        )
         for target in self.fleet.targets:
             self.registry.put(TargetRecord(target.name, _POOL, "h", 1, slots=10_000))
 
@@ -175,12 +177,12 @@
             yield self.environment.timeout(_BEAT_SECONDS)
 
     def _beat(self, instance):
-        instance.registry.limits.forget()
-        words = instance.registry.limits.to_tell()
+        instance.registry.stated_limits.drop_expired()
+        words = instance.registry.stated_limits.next_reports()
         others = [name for name in self.names if name != instance.name]
         for name in self.random.sample(others, min(_FANOUT, len(others))):
             if self.reaches(instance.name, name):
-                self.instances[name].registry.limits.learn(words, instance.name)
+                self.instances[name].registry.stated_limits.merge_reports(words, instance.name)
 
     def _callers(self, instance):
         while True:
@@ -207,5 +209,5 @@
         stated = target.limit
         yield self.environment.timeout(self.answer_seconds * self.random.uniform(0.5, 1.5))
         state.unanswered -= 1
-        registry.limits.hear(state.record.identity, stated, sent_at)
+        registry.stated_limits.record_answer(state.record.identity, stated, sent_at)
         registry.finished(state)
--- a/whinrack/dispatch/tests/test_choice_and_send.py
+++ b/whinrack/dispatch/tests/test_choice_and_send.py
@@ -12,14 +12,14 @@
     DispatchOptions,
     IncomingRequest,
     PoolRecord,
-    PoolShare,
     Route,
     RouteKind,
     TargetRecord,
     TargetRegistry,
     TargetsView,
+    WeightedPool,
 )
-from whinrack.dispatch._run import Run
+from whinrack.dispatch._request_run import Run
 from whinrack.exceptions import TargetUnavailable
 from whinrack.http1 import Exchange, RequestHead, ServerLimits
 from whinrack.observability import Metrics
@@ -64,9 +64,14 @@
     request = IncomingRequest(
         request_id=b"1", method=b"GET", target=b"/x", host="h", path="/x", headers=[], body=b""
     )
-    shares = (PoolShare("p"),)
+    shares = (WeightedPool("p"),)
     route = Route(
-        name="r", host="h", path_prefix="/", kind=RouteKind.AT_MOST_ONCE, timeout=5.0, shares=shares
+        name="r",
+        host="h",
+        path_prefix="/",
+        kind=RouteKind.AT_MOST_ONCE,
+        timeout=5.0,
+        weighted_pools=shares,
     )
     configuration = Configuration(1, [route], [PoolRecord("p", 0)], [], ServerLimits())
     exchange = Exchange(None, RequestHead(b"GET", b"/x", []), b"")
@@ -79,7 +84,7 @@
         registry.put(TargetRecord(f"t{number}", "p", "h", number))
 
     def all_leave(address):
-        registry.leave(f"t{address[1]}")
+        registry.mark_leaving(f"t{address[1]}")
 
     connections = SlowConnections(all_leave)
     dispatcher = Dispatcher(
@@ -108,8 +113,8 @@
     """Requests that had been chosen for it before the word was heard come no more than others."""
     registry = TargetRegistry(seed=1)
     registry.put(TargetRecord("t1", "p", "h", 1))
-    registry.limits.hear("t1", 1.0, sent_at=steady())
-    (state,) = registry.of_pool("p")
+    registry.stated_limits.record_answer("t1", 1.0, sent_at=steady())
+    (state,) = registry.targets_in_pool("p")
     assert registry.still_takes(state, None, permit_until=None)
     assert not registry.still_takes(state, None, permit_until=None)
     assert not registry.still_takes(state, None, permit_until=steady() - 0.1)
--- a/whinrack/dispatch/tests/test_decisions.py
+++ b/whinrack/dispatch/tests/test_decisions.py
@@ -4,14 +4,14 @@
 
 from whinrack.dispatch import (
     Configuration,
-    Directory,
+    CurrentConfiguration,
     PoolRecord,
-    PoolShare,
-    RetryAllowance,
+    RetryBudget,
     Route,
     RouteKind,
     TargetRecord,
     TargetRegistry,
+    WeightedPool,
     WorkspaceRecord,
 )
 from whinrack.dispatch._events import event_blocks
@@ -26,8 +26,8 @@
         path_prefix=prefix,
         kind=RouteKind.REPEATABLE,
         timeout=1.0,
-        shares=(PoolShare("p"),),
-        public=public,
+        weighted_pools=(WeightedPool("p"),),
+        is_public=public,
     )
 
 
@@ -36,7 +36,7 @@
         version=version,
         routes=routes,
         pools=[PoolRecord("p", 10)],
-        workspaces=[WorkspaceRecord("w", ("k1", "k2"), limit=5)],
+        workspaces=[WorkspaceRecord("w", ("k1", "k2"), token_limit=5)],
         limits=ServerLimits(),
     )
 
@@ -47,14 +47,14 @@
 )
 def test_the_longest_prefix_wins(path, name):
     routes = [route("root", "/"), route("short", "/a/"), route("deep", "/a/b/")]
-    assert configuration(routes=routes).route("h", path).name == name
+    assert configuration(routes=routes).find_route("h", path).name == name
 
 
 def test_no_route_for_another_host_or_path():
     config = configuration(routes=[route("short", "/a/")])
     for host, path in (("other", "/a/"), ("h", "/b/"), ("h", "/a"), ("h", "")):
         with pytest.raises(NoRoute):
-            config.route(host, path)
+            config.find_route(host, path)
 
 
 def test_keys_name_their_workspace_and_public_routes_need_none():
@@ -67,10 +67,10 @@
 
 def test_versions_only_rise():
     taken = []
-    directory = Directory(lambda config: taken.append(config.version))
+    directory = CurrentConfiguration(lambda config: taken.append(config.version))
     with pytest.raises(ConfigurationUnknown):
-        directory.current()
-    assert [directory.take(configuration(version)) for version in (3, 2, 3, 7)] == [
+        directory.get()
+    assert [directory.update(configuration(version)) for version in (3, 2, 3, 7)] == [
         True,
         False,
         False,
@@ -80,7 +80,7 @@
 
 
 def record(name, leaving=False, port=1):
-    return TargetRecord(name, "p", "127.0.0.1", port, leaving=leaving)
+    return TargetRecord(name, "p", "127.0.0.1", port, is_leaving=leaving)
 
 
 def registry(*names):
@@ -107,7 +107,7 @@
     for _ in range(30):
         state = targets.choose("p", "prefix", (), 0.0)
         targets.started(state)
-        loads.append({s.record.incarnation: s.in_flight for s in targets.of_pool("p")})
+        loads.append({s.record.incarnation: s.in_flight for s in targets.targets_in_pool("p")})
     assert loads[1][home] == 2
     assert all(max(load.values()) <= 1.25 * sum(load.values()) / 3 + 3 for load in loads)
     assert min(loads[-1].values()) > 0
@@ -115,7 +115,7 @@
 
 def loads_of(targets, **counts):
     """Return what another instance says, by the names of the targets."""
-    by_name = {state.record.incarnation: state.digest for state in targets.of_pool("p")}
+    by_name = {state.record.incarnation: state.digest for state in targets.targets_in_pool("p")}
     return {by_name[name]: count for name, count in counts.items()}
 
 
@@ -125,7 +125,7 @@
 
 def test_requests_of_other_instances_count_where_loads_are_shared():
     targets = registry("a", "b")
-    targets.elsewhere.heard("m2", loads_of(targets, a=5), 0.0)
+    targets.remote_loads.update("m2", loads_of(targets, a=5), 0.0)
     assert {choose_shared(targets) for _ in range(20)} == {"b"}
     assert {choose(targets) for _ in range(20)} == {"a", "b"}
 
@@ -133,7 +133,7 @@
 def test_a_prefix_gives_way_to_what_other_instances_have_there():
     targets = registry("a", "b", "c")
     home = choose_shared(targets, "prefix")
-    targets.elsewhere.heard("m2", loads_of(targets, **{home: 9}), 0.0)
+    targets.remote_loads.update("m2", loads_of(targets, **{home: 9}), 0.0)
     assert choose_shared(targets, "prefix") != home
 
 
@@ -141,45 +141,45 @@
     targets = TargetRegistry(seed=1)
     targets.replace_all([TargetRecord(name, "p", "127.0.0.1", 1, slots=64) for name in "abc"])
     home = choose_shared(targets, "prefix")
-    targets.elsewhere.heard("m2", loads_of(targets, **{home: 30}), 0.0)
+    targets.remote_loads.update("m2", loads_of(targets, **{home: 30}), 0.0)
     assert choose_shared(targets, "prefix") == home
-    targets.elsewhere.heard("m2", loads_of(targets, **{home: 60}), 0.0)
+    targets.remote_loads.update("m2", loads_of(targets, **{home: 60}), 0.0)
     assert choose_shared(targets, "prefix") != home
 
 
 def test_the_latest_word_of_an_instance_counts_until_it_is_silent():
     targets = registry("a")
-    (state,) = targets.of_pool("p")
+    (state,) = targets.targets_in_pool("p")
     for count in (5, 3):
-        targets.elsewhere.heard("m2", {state.digest: count}, 0.0)
-    targets.elsewhere.heard("m3", {state.digest: 1}, 1.0)
-    assert targets.elsewhere.at(state.digest) == 4
-    targets.elsewhere.heard("m3", {}, 2.0)
-    assert targets.elsewhere.at(state.digest) == 0
+        targets.remote_loads.update("m2", {state.digest: count}, 0.0)
+    targets.remote_loads.update("m3", {state.digest: 1}, 1.0)
+    assert targets.remote_loads.at(state.digest) == 4
+    targets.remote_loads.update("m3", {}, 2.0)
+    assert targets.remote_loads.at(state.digest) == 0
 
 
 def test_an_instance_tells_its_requests_in_flight():
     targets = registry("a", "b")
     state = targets.choose("p", "", ("b",), 0.0)
     targets.started(state)
-    assert targets.loads() == {state.digest: 1}
+    assert targets.requests_by_target() == {state.digest: 1}
 
 
 def test_leaving_and_gone_targets_take_no_work():
     targets = registry("a", "b", "c", "d")
     assert targets.put(record("a", leaving=True))
     assert targets.remove("b")
-    assert targets.leave("c")
+    assert targets.mark_leaving("c")
     assert choose(targets) == "d"
     assert not targets.put(record("a")), "an old record brings a leaving target back"
     assert not targets.put(record("c")), "a peer's word is newer than the list"
     assert choose(targets) == "d"
-    assert {record.incarnation for record in targets.leaving()} == {"a", "c"}
+    assert {record.incarnation for record in targets.leaving_records()} == {"a", "c"}
 
 
 def test_a_target_that_fails_is_set_aside_and_comes_back():
     targets = registry("a", "b")
-    (failing,) = [s for s in targets.of_pool("p") if s.record.incarnation == "a"]
+    (failing,) = [s for s in targets.targets_in_pool("p") if s.record.incarnation == "a"]
     for _ in range(3):
         failing.ejection.failed(0.0)
     assert {choose(targets, now=0.5) for _ in range(20)} == {"b"}
@@ -188,7 +188,7 @@
 
 def test_a_target_that_can_not_be_reached_is_set_aside_at_once():
     targets = registry("a", "b")
-    (gone,) = [s for s in targets.of_pool("p") if s.record.incarnation == "a"]
+    (gone,) = [s for s in targets.targets_in_pool("p") if s.record.incarnation == "a"]
     gone.ejection.unreachable(0.0)
     assert {choose(targets, now=0.1) for _ in range(9)} == {"b"}
     assert not targets.has_other("p", {"b"}, 0.1)
@@ -198,7 +198,7 @@
 def test_a_target_that_is_set_aside_is_better_than_none():
     targets = registry("a")
     for _ in range(3):
-        targets.of_pool("p")[0].ejection.failed(0.0)
+        targets.targets_in_pool("p")[0].ejection.failed(0.0)
     assert choose(targets, now=0.1) == "a"
 
 
@@ -206,18 +206,18 @@
     targets = registry("a", "b")
     for _ in range(4):
         targets.started(targets.choose("p", "", (), 0.0, 2))
-    assert [state.in_flight for state in targets.of_pool("p")] == [2, 2]
+    assert [state.in_flight for state in targets.targets_in_pool("p")] == [2, 2]
     assert targets.choose("p", "", (), 0.0, 2) is None
 
 
 def test_a_full_target_rests_but_is_better_than_none():
     targets = registry("a")
-    targets.busy(targets.of_pool("p")[0], 0.0)
+    targets.busy(targets.targets_in_pool("p")[0], 0.0)
     assert choose(targets) == "a"
 
 
 def test_retries_are_a_share_of_the_requests_in_the_window():
-    allowance = RetryAllowance(ratio=0.2, slack=0.0, window=10.0)
+    allowance = RetryBudget(ratio=0.2, slack=0.0, window=10.0)
     for _ in range(100):
         allowance.record_request(0.0)
     taken = sum(allowance.try_take(1.0, instances=3) for _ in range(50))
@@ -251,7 +251,7 @@
 
 def test_a_target_that_said_it_leaves_does_not_come_back_after_its_record_went():
     targets = registry("a", "b")
-    leaving = TargetRecord("a", "p", "h", 1, leaving=True)
+    leaving = TargetRecord("a", "p", "h", 1, is_leaving=True)
     assert targets.put(leaving)
     targets.remove("a")
     assert targets.put(TargetRecord("a", "p", "h", 1))
@@ -260,6 +260,6 @@
 
 def test_a_peers_word_that_a_target_leaves_holds_for_a_record_that_comes_later():
     targets = registry("b")
-    assert not targets.leave("a")
+    assert not targets.mark_leaving("a")
     assert targets.put(TargetRecord("a", "p", "h", 1))
     assert targets.choose("p", "", (), 0.0).record.incarnation == "b"
--- a/whinrack/dispatch/tests/test_halls.py
+++ b/whinrack/dispatch/tests/test_halls.py
@@ -2,51 +2,51 @@
 
 import itertools
 
-from whinrack.dispatch import EmptiedHalls, HallWord, PoolRecord, TargetRecord, TargetRegistry
-from whinrack.dispatch._turning_away import BUSY_RETRY_SECONDS, why_nobody
+from whinrack.dispatch import EmptiedHalls, HallStatus, PoolRecord, TargetRecord, TargetRegistry
+from whinrack.dispatch._refusals import BUSY_RETRY_SECONDS, why_nobody
 
 WORDS = (
-    HallWord("z", 5, True),
-    HallWord("z", 5, False),
-    HallWord("z", 8, True),
-    HallWord("y", 6, True),
+    HallStatus("z", 5, True),
+    HallStatus("z", 5, False),
+    HallStatus("z", 8, True),
+    HallStatus("y", 6, True),
 )
 
 
 def learn_all(words):
     halls = EmptiedHalls()
     for word in words:
-        halls.learn(word)
+        halls.update(word)
     return halls
 
 
 def test_the_latest_word_wins_in_whatever_order_words_come():
     for words in itertools.permutations(WORDS):
-        assert learn_all(words).emptied == {"z", "y"}
+        assert learn_all(words).names == {"z", "y"}
 
 
 def test_an_older_word_changes_nothing_and_is_no_news():
     halls = learn_all(WORDS)
-    assert not halls.learn(HallWord("z", 7, False))
-    assert halls.learn(HallWord("z", 8, False))
-    assert not halls.learn(HallWord("z", 8, True))
-    assert halls.emptied == {"y"}
+    assert not halls.update(HallStatus("z", 7, False))
+    assert halls.update(HallStatus("z", 8, False))
+    assert not halls.update(HallStatus("z", 8, True))
+    assert halls.names == {"y"}
 
 
 def test_a_list_takes_back_what_it_lacks_but_not_what_is_later():
     halls = learn_all(WORDS)
-    assert halls.not_listed({"y"}, 7) == []
-    assert halls.not_listed({"y"}, 8) == [HallWord("z", 8, False)]
-    assert halls.not_listed({"y", "z"}, 9) == []
+    assert halls.released_by_list({"y"}, 7) == []
+    assert halls.released_by_list({"y"}, 8) == [HallStatus("z", 8, False)]
+    assert halls.released_by_list({"y", "z"}, 9) == []
 
 
 def test_words_on_halls_in_use_are_bounded_and_emptied_halls_are_kept():
     halls = EmptiedHalls()
-    halls.learn(HallWord("kept", 1, True))
+    halls.update(HallStatus("kept", 1, True))
     for number in range(500):
-        halls.learn(HallWord(f"hall-{number}", number + 2, False))
-    assert len(halls.words()) <= 101
-    assert halls.emptied == {"kept"}
+        halls.update(HallStatus(f"hall-{number}", number + 2, False))
+    assert len(halls.statuses()) <= 101
+    assert halls.names == {"kept"}
 
 
 def registry(**halls):
@@ -59,11 +59,11 @@
 
 def test_targets_of_an_emptied_hall_are_neither_chosen_nor_another_choice():
     targets = registry(a="z", b="y")
-    assert targets.learn_of_hall(HallWord("z", 2, True))
+    assert targets.update_hall(HallStatus("z", 2, True))
     chosen = {targets.choose("p", f"k{n}", (), 0.0).record.incarnation for n in range(20)}
     assert chosen == {"b"}
     assert not targets.has_other("p", {"b"}, 0.0)
-    targets.learn_of_hall(HallWord("y", 3, True))
+    targets.update_hall(HallStatus("y", 3, True))
     assert targets.choose("p", "", (), 0.0) is None
 
 
@@ -71,20 +71,20 @@
     targets = registry(a="z", b="y")
     pool = PoolRecord("p", 0)
     targets.clock = lambda: 10.0
-    targets.learn_of_hall(HallWord("z", 2, True))
+    targets.update_hall(HallStatus("z", 2, True))
     assert why_nobody(targets, pool, 15.0).retry_after == BUSY_RETRY_SECONDS
     targets.clock = lambda: 12.0
-    targets.learn_of_hall(HallWord("y", 3, True))
+    targets.update_hall(HallStatus("y", 3, True))
     assert why_nobody(targets, pool, 15.0).retry_after == 3.0
     assert why_nobody(targets, pool, 12.1).retry_after == 1.0
-    targets.learn_of_hall(HallWord("z", 4, False))
+    targets.update_hall(HallStatus("z", 4, False))
     assert why_nobody(targets, pool, 15.0).retry_after == BUSY_RETRY_SECONDS
 
 
 def test_a_target_whose_hall_is_emptied_after_the_choice_may_be_sent_nothing():
     targets = registry(a="z", b="y")
     state = targets.choose("p", "", {"b"}, 0.0)
-    targets.learn_of_hall(HallWord("z", 2, True))
+    targets.update_hall(HallStatus("z", 2, True))
     assert not targets.may_be_sent(state, 0.0)
-    targets.learn_of_hall(HallWord("z", 2, False))
+    targets.update_hall(HallStatus("z", 2, False))
     assert targets.may_be_sent(state, 0.0)
--- a/whinrack/dispatch/tests/test_last_words.py
+++ b/whinrack/dispatch/tests/test_last_words.py
@@ -4,13 +4,13 @@
 
 import pytest
 
-from whinrack.dispatch import DeclaredCover, EngineShape, PoolRecord, TargetStatement
-from whinrack.dispatch._last_words import settle_by_last_words
-from whinrack.dispatch._run import Run
+from whinrack.dispatch import DeclaredTokens, EngineCapacity, PoolRecord, TargetStatement
+from whinrack.dispatch._abandoned_runs import settle_by_last_words
+from whinrack.dispatch._request_run import Run
 from whinrack.exceptions import AnswerCut, AttemptTimeout
 from whinrack.http1 import ResponseHead
 
-POOL = PoolRecord("p", 8, EngineShape(slots=8, memory=10_000, event_tokens=5))
+POOL = PoolRecord("p", 8, EngineCapacity(slots=8, token_capacity=10_000, max_event_tokens=5))
 EVENTS = b"id: 4\ndata: x\n\nid: 5\ndata: y\n\n"
 
 
@@ -46,20 +46,22 @@
 
 
 class Dialect:
-    def is_answer_to(self, request, headers):
+    def is_response_to(self, request, headers):
         return True
 
-    def statement(self, head):
+    def parse_statement(self, head):
         return TargetStatement(did_not_run=head.status == 503)
 
 
 @pytest.fixture
 def run():
     request = SimpleNamespace(
-        cover=DeclaredCover(prompt=100, output=200), deadline=1.0, resume_after=None
+        declared_tokens=DeclaredTokens(prompt=100, output=200),
+        deadline_seconds=1.0,
+        resume_after=None,
     )
     run = Run(SimpleNamespace(arrived=0.0), request, None, SimpleNamespace(timeout=1.0), None)
-    run.cover = Cover()
+    run.reservation = Cover()
     run.attempts, run.may_have_run, run.events, run.last_id = 1, True, 3, 3
     return run
 
@@ -68,7 +70,7 @@
     hear = [].append if heard is None else heard.append
     settle_by_last_words(run, POOL, connection, Dialect(), hear, answered)
     assert connection.finished_sending
-    return run.cover.billed
+    return run.reservation.billed
 
 
 def test_events_that_came_and_one_more_are_billed_where_the_target_ends(run):
--- a/whinrack/dispatch/tests/test_limited_fleet.py
+++ b/whinrack/dispatch/tests/test_limited_fleet.py
@@ -53,7 +53,7 @@
     fleet = Fleet(8, limits, demand=_DEMAND[8], seed=seed)
     for name, instance in fleet.instances.items():
         known = {name, *fleet.random.sample(fleet.names, 7)}
-        instance.registry.permits.members = lambda known=known: frozenset(known)
+        instance.registry.rate_permits.members = lambda known=known: frozenset(known)
     fleet.run(23.0)
     assert_bound_holds(fleet, limits, _CONTACT_SECONDS)
 
@@ -114,7 +114,10 @@
     for target in fleet.targets:
         target.limit = NO_LIMIT
     fleet.run(12.0)
-    ended = sum(not instance.registry.limits.limited() for instance in fleet.instances.values())
+    ended = sum(
+        not instance.registry.stated_limits.limited_targets()
+        for instance in fleet.instances.values()
+    )
     assert ended == count
     refused = fleet.refused
     fleet.run(14.0)
@@ -129,9 +132,9 @@
         name
         for name, instance in fleet.instances.items()
         for target in fleet.targets
-        if instance.registry.bearing.share(target.name) > 0.0
+        if instance.registry.rate_limiter.permitted_rate(target.name) > 0.0
     }
-    assert len(fleet.instances["m0"].registry.limits.limited()) == len(fleet.targets)
+    assert len(fleet.instances["m0"].registry.stated_limits.limited_targets()) == len(fleet.targets)
     for name in holders:
         # Out of the way: nothing that they send arrives.
         fleet.held_up[name] = 1000.0
@@ -139,7 +142,7 @@
         target.limit = NO_LIMIT
     fleet.run(45.0)
     others = [fleet.instances[name] for name in fleet.names if name not in holders]
-    assert all(not instance.registry.limits.limited() for instance in others)
+    assert all(not instance.registry.stated_limits.limited_targets() for instance in others)
 
 
 def test_a_limit_that_goes_up_and_down_is_kept_to():
--- a/whinrack/dispatch/tests/test_patience.py
+++ b/whinrack/dispatch/tests/test_patience.py
@@ -2,12 +2,14 @@
 
 import pytest
 
-from whinrack.dispatch import EngineShape, PoolRecord
+from whinrack.dispatch import EngineCapacity, PoolRecord
+from whinrack.dispatch._answer_times import AnswerTimes
 from whinrack.dispatch._pacing import StreamPacing
-from whinrack.dispatch._patience import AnswerTimes
 
 SERVICE = PoolRecord("app", 100)
-ENGINES = PoolRecord("lm", 100, EngineShape(slots=12, memory=100_000, event_tokens=5))
+ENGINES = PoolRecord(
+    "lm", 100, EngineCapacity(slots=12, token_capacity=100_000, max_event_tokens=5)
+)
 
 
 def test_nothing_is_known_before_the_first_answer():
--- a/whinrack/dispatch/tests/test_placement.py
+++ b/whinrack/dispatch/tests/test_placement.py
@@ -9,7 +9,7 @@
 import pytest
 
 from whinrack.dispatch import TargetRecord, TargetRegistry
-from whinrack.dispatch._placement import EngineLoad, PromptNeed, choose_engine
+from whinrack.dispatch._engine_choice import EngineLoad, PromptNeed, choose_engine
 from whinrack.dispatch._target_state import Reading
 
 
@@ -41,8 +41,8 @@
 
 def test_what_others_have_to_read_there_counts_too():
     targets = registry(2)
-    first, second = targets.of_pool("p")
-    targets.elsewhere.heard("m2", {first.digest: 1}, 0.0, {first.digest: 40_000})
+    first, second = targets.targets_in_pool("p")
+    targets.remote_loads.update("m2", {first.digest: 1}, 0.0, {first.digest: 40_000})
     chosen = {
         targets.choose("p", "", (), 0.0, shares_loads=True, prompt=PromptNeed(100)).address
         for _ in range(10)
@@ -51,13 +51,13 @@
 
 
 def test_a_prompt_counts_until_it_is_read_and_once_only():
-    (state,) = registry(1).of_pool("p")
+    (state,) = registry(1).targets_in_pool("p")
     reading, other = Reading(state, 700), Reading(state, 50)
     reading.end()
     reading.end()
-    assert state.unread == 50
+    assert state.unread_tokens == 50
     other.end()
-    assert state.unread == 0
+    assert state.unread_tokens == 0
 
 
 class Prompt(msgspec.Struct, frozen=True):
@@ -158,7 +158,9 @@
         told = self.registries[instance]
         for number, other in enumerate(self.registries):
             if number != instance:
-                other.elsewhere.heard(str(instance), told.loads(), now, told.unread())
+                other.remote_loads.update(
+                    str(instance), told.requests_by_target(), now, told.unread_tokens()
+                )
 
 
 def test_a_burst_of_prompts_is_read_sooner_by_work_than_by_requests():
--- a/whinrack/dispatch/tests/test_shared_rates.py
+++ b/whinrack/dispatch/tests/test_shared_rates.py
@@ -27,16 +27,16 @@
         For each instance, whom it counts at a moment.
     """
     now, looked_at = 0.0, -1.0
-    bound = LIMITS.bound(rate)
+    bound = LIMITS.rate_bound(rate)
     permits = [SharedRatePermits(name, lambda view=view: view(now)) for name, view in views.items()]
     sends = []
     while now < SECONDS:
         if now - looked_at >= LOOK_SECONDS:
             looked_at = now
-            holders = [one for one in permits if one.held({target: bound})]
+            holders = [one for one in permits if one.held_shares({target: bound})]
         for one in holders:
-            while one.holds(target, bound, now):
-                one.take(target, bound, now)
+            while one.has_permit(target, bound, now):
+                one.take_permit(target, bound, now)
                 sends.append(now)
         now += STEP_PART / rate
     return sends
@@ -55,7 +55,7 @@
 @pytest.mark.parametrize("count", [1, 2, 3, 6, 20, 87])
 def test_instances_that_agree_use_the_rate_and_stay_below_the_bound(rate, count):
     sends = press(agreeing(count), rate)
-    assert most_in_a_second(sends) <= LIMITS.bound(rate).most
+    assert most_in_a_second(sends) <= LIMITS.rate_bound(rate).max_requests
     assert len(sends) >= 0.75 * rate * SECONDS - 1
 
 
@@ -63,7 +63,7 @@
 def test_two_halves_that_know_nothing_of_each_other_stay_below_the_bound(rate):
     halves = (NAMES[:40], NAMES[40:])
     views = {name: lambda now, half=half: half for half in halves for name in half}
-    assert most_in_a_second(press(views, rate)) <= LIMITS.bound(rate).most
+    assert most_in_a_second(press(views, rate)) <= LIMITS.rate_bound(rate).max_requests
 
 
 @pytest.mark.parametrize("seed", range(8))
@@ -75,7 +75,7 @@
     for name in serving:
         known = {name, *draw.sample(serving, 6), *draw.sample(NAMES[8:], 3)}
         views[name] = lambda now, known=known: known
-    assert most_in_a_second(press(views, 9.9)) <= LIMITS.bound(9.9).most
+    assert most_in_a_second(press(views, 9.9)) <= LIMITS.rate_bound(9.9).max_requests
 
 
 def test_members_that_change_while_it_is_cold_stay_below_the_bound():
@@ -86,7 +86,7 @@
 
     halves = (NAMES[:3], NAMES[3:6])
     views = {name: view_of(half) for half in halves for name in half}
-    assert most_in_a_second(press(views, 9.9)) <= LIMITS.bound(9.9).most
+    assert most_in_a_second(press(views, 9.9)) <= LIMITS.rate_bound(9.9).max_requests
 
 
 def test_instances_that_know_nobody_send_nothing():
@@ -98,13 +98,13 @@
     views = agreeing(6)
     before = press(views, 9.9)
     again = [SECONDS + at for at in press(views, 9.9)]
-    assert most_in_a_second(before + again) <= LIMITS.bound(9.9).most
+    assert most_in_a_second(before + again) <= LIMITS.rate_bound(9.9).max_requests
 
 
 @pytest.mark.parametrize(
     ("limits", "rate"), [(WarmUpLimits(1.0, 0.0), 10.0), (WarmUpLimits(), 0.5)]
 )
 def test_a_bound_without_slack_leaves_one_holder(limits, rate):
-    share = share_of(limits.bound(rate), 10)
+    share = share_of(limits.rate_bound(rate), 10)
     assert share.holders == 1
-    assert 2 * (share.rate + 1) <= max(limits.bound(rate).most, 2.0)
+    assert 2 * (share.rate + 1) <= max(limits.rate_bound(rate).max_requests, 2.0)
--- a/whinrack/dispatch/tests/test_starts.py
+++ b/whinrack/dispatch/tests/test_starts.py
@@ -8,7 +8,7 @@
 
 
 def record(started, leaving=False, port=1, name="t", version=0):
-    return TargetRecord(name, "p", "h", port, started=started, leaving=leaving, version=version)
+    return TargetRecord(name, "p", "h", port, started=started, is_leaving=leaving, version=version)
 
 
 @pytest.fixture
@@ -31,22 +31,22 @@
 
 def test_nor_because_a_peer_says_so_of_the_earlier_one(registry):
     registry.put(record(6))
-    assert not registry.leave("t", 5)
+    assert not registry.mark_leaving("t", 5)
     assert chosen(registry) == 6
-    assert registry.leave("t", 6)
+    assert registry.mark_leaving("t", 6)
     assert chosen(registry) is None
 
 
 def test_a_peer_that_tells_no_start_means_the_one_that_is_known(registry):
     registry.put(record(5))
-    assert registry.leave("t")
+    assert registry.mark_leaving("t")
     registry.put(record(6))
     assert chosen(registry) == 6
 
 
 def test_a_word_on_a_later_start_that_comes_before_its_record_counts_for_it(registry):
     registry.put(record(5))
-    registry.leave("t", 6)
+    registry.mark_leaving("t", 6)
     registry.put(record(6))
     assert chosen(registry) is None
 
@@ -63,17 +63,17 @@
 def test_it_is_not_set_aside_for_what_the_earlier_one_did(registry):
     registry.put(record(5))
     registry.put(record(5, name="other", port=2))
-    (state, _) = registry.of_pool("p")
+    (state, _) = registry.targets_in_pool("p")
     state.ejection.unreachable(NOW)
     assert chosen(registry, tried=["other@5"]) == 5
     registry.put(record(6))
-    (current,) = [one for one in registry.of_pool("p") if one.record.incarnation == "t"]
+    (current,) = [one for one in registry.targets_in_pool("p") if one.record.incarnation == "t"]
     assert current.takes_work(NOW)
 
 
 def test_it_is_not_among_the_tried(registry):
     registry.put(record(5))
-    (state,) = registry.of_pool("p")
+    (state,) = registry.targets_in_pool("p")
     tried = {state.record.identity}
     assert chosen(registry, tried) is None
     registry.put(record(6))
@@ -82,18 +82,18 @@
 
 def test_loads_that_peers_told_of_the_earlier_one_are_not_its(registry):
     registry.put(record(5))
-    (before,) = registry.of_pool("p")
+    (before,) = registry.targets_in_pool("p")
     registry.put(record(6))
-    (after,) = registry.of_pool("p")
+    (after,) = registry.targets_in_pool("p")
     assert before.digest != after.digest
 
 
 def test_requests_at_the_earlier_one_do_not_count_at_it(registry):
     registry.put(record(5))
-    (before,) = registry.of_pool("p")
+    (before,) = registry.targets_in_pool("p")
     registry.started(before)
     registry.put(record(6))
-    (after,) = registry.of_pool("p")
+    (after,) = registry.targets_in_pool("p")
     assert after.in_flight == 0
     registry.finished(before)
     assert chosen(registry) == 6
@@ -103,7 +103,7 @@
     ended = []
     registry.ended.append(ended.append)
     registry.put(record(5))
-    (before,) = registry.of_pool("p")
+    (before,) = registry.targets_in_pool("p")
     registry.put(record(6))
     assert ended == [before]
     assert before.leaving
@@ -111,7 +111,7 @@
 
 def test_what_is_learnt_at_the_address_of_the_earlier_one_takes_nothing_from_the_later(registry):
     registry.put(record(5))
-    (before,) = registry.of_pool("p")
+    (before,) = registry.targets_in_pool("p")
     registry.put(record(6, port=2))
     registry.not_at_its_address(before)
     assert chosen(registry) == 6
@@ -120,10 +120,10 @@
 @pytest.mark.parametrize("planned", [True, False])
 def test_whether_the_earlier_one_ended_as_planned_is_what_it_said(registry, planned):
     registry.put(record(5))
-    (before,) = registry.of_pool("p")
+    (before,) = registry.targets_in_pool("p")
     registry.started(before)
     if planned:
-        registry.leave("t", 5)
+        registry.mark_leaving("t", 5)
     registry.remove("t")
     registry.put(record(6))
     assert before.replaced is not planned
@@ -135,7 +135,7 @@
     registry.put(record(5))
     registry.put(record(6, name="u"))
     assert ended == []
-    assert len(registry.of_pool("p")) == 2
+    assert len(registry.targets_in_pool("p")) == 2
 
 
 def test_a_start_in_the_future_that_another_writer_made_up_keeps_no_good_record_out(registry):
@@ -148,8 +148,8 @@
 def test_a_record_with_another_pool_serves_that_one_only(registry):
     registry.put(record(5))
     registry.put(TargetRecord("t", "q", "h", 1, started=5))
-    assert registry.of_pool("p") == []
-    assert len(registry.of_pool("q")) == 1
+    assert registry.targets_in_pool("p") == []
+    assert len(registry.targets_in_pool("q")) == 1
 
 
 def test_an_entry_without_a_start_works_as_it_did(registry):
--- a/whinrack/dispatch/tests/test_stated_limits.py
+++ b/whinrack/dispatch/tests/test_stated_limits.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from whinrack.dispatch import NO_LIMIT, LimitWord, StatedLimits
+from whinrack.dispatch import NO_LIMIT, LimitReport, StatedLimits
 
 
 class World:
@@ -17,27 +17,27 @@
 
     def start(self, name):
         limits = StatedLimits(name, lambda: self.now)
-        limits.changed.append(self.changes.append)
+        limits.on_change.append(self.changes.append)
         return limits
 
     def tell(self, giver, taker):
-        self.limits[taker].learn(self.limits[giver].to_tell(), giver)
+        self.limits[taker].merge_reports(self.limits[giver].next_reports(), giver)
 
     def rates(self):
         return [limits.rate("t") for limits in self.limits.values()]
 
 
 def word(rate, age=0.0, number=1, hearer=7, target="t"):
-    return LimitWord(target, rate, hearer, number, age)
+    return LimitReport(target, rate, hearer, number, age)
 
 
 def test_a_word_is_told_and_taken_back():
     world = World("a", "b")
-    world.limits["a"].hear("t", 1.5, sent_at=99.0, request="r1")
+    world.limits["a"].record_answer("t", 1.5, sent_at=99.0, request="r1")
     world.tell("a", "b")
     assert world.rates() == [1.5, 1.5]
     world.now += 1.0
-    world.limits["b"].hear("t", NO_LIMIT, sent_at=100.5)
+    world.limits["b"].record_answer("t", NO_LIMIT, sent_at=100.5)
     world.tell("b", "a")
     assert world.rates() == [NO_LIMIT, NO_LIMIT]
     assert [(change.rate, change.source) for change in world.changes] == [
@@ -50,25 +50,25 @@
 
 def test_an_answer_to_a_request_from_before_the_word_does_not_take_it_back():
     world = World("a")
-    world.limits["a"].hear("t", 1.0, sent_at=99.9)
+    world.limits["a"].record_answer("t", 1.0, sent_at=99.9)
     world.now += 2.0
-    world.limits["a"].hear("t", NO_LIMIT, sent_at=99.5)
-    world.limits["a"].hear("t", 3.0, sent_at=99.5)
+    world.limits["a"].record_answer("t", NO_LIMIT, sent_at=99.5)
+    world.limits["a"].record_answer("t", 3.0, sent_at=99.5)
     assert world.rates() == [1.0]
-    world.limits["a"].hear("t", 0.5, sent_at=99.5)
+    world.limits["a"].record_answer("t", 0.5, sent_at=99.5)
     assert world.rates() == [0.5]
 
 
 def test_an_unlimited_answer_that_comes_late_hides_no_limit_that_a_peer_was_told():
     """Once a limit has ended each answer without one made its end younger."""
     world = World("a", "b")
-    world.limits["a"].hear("t", 1.0, sent_at=99.9)
+    world.limits["a"].record_answer("t", 1.0, sent_at=99.9)
     world.now += 1.0
-    world.limits["a"].hear("t", NO_LIMIT, sent_at=100.5)
+    world.limits["a"].record_answer("t", NO_LIMIT, sent_at=100.5)
     world.now += 1.0
-    world.limits["b"].hear("t", 1.0, sent_at=101.9)
+    world.limits["b"].record_answer("t", 1.0, sent_at=101.9)
     world.now += 0.1
-    world.limits["a"].hear("t", NO_LIMIT, sent_at=101.8)
+    world.limits["a"].record_answer("t", NO_LIMIT, sent_at=101.8)
     world.tell("b", "a")
     world.tell("a", "b")
     assert world.rates() == [1.0, 1.0]
@@ -76,20 +76,20 @@
 
 def test_the_end_of_a_limit_is_told_for_a_while_only():
     world = World("a")
-    world.limits["a"].hear("t", 1.0, sent_at=99.9)
+    world.limits["a"].record_answer("t", 1.0, sent_at=99.9)
     for _ in range(70):
         world.now += 1.0
-        world.limits["a"].hear("t", NO_LIMIT, sent_at=world.now - 0.1)
-    world.limits["a"].forget()
+        world.limits["a"].record_answer("t", NO_LIMIT, sent_at=world.now - 0.1)
+    world.limits["a"].drop_expired()
     assert world.limits["a"].is_empty
 
 
 def test_a_peer_that_was_cut_off_does_not_bring_an_ended_limit_back():
     world = World("a", "b")
-    world.limits["a"].hear("t", 1.0, sent_at=100.0)
+    world.limits["a"].record_answer("t", 1.0, sent_at=100.0)
     world.tell("a", "b")
     world.now += 10.0
-    world.limits["a"].hear("t", NO_LIMIT, sent_at=109.0)
+    world.limits["a"].record_answer("t", NO_LIMIT, sent_at=109.0)
     world.now += 10.0
     world.tell("b", "a")
     assert world.rates() == [NO_LIMIT, 1.0]
@@ -100,13 +100,13 @@
 def test_a_word_that_goes_round_among_peers_gets_no_younger():
     """Each hop takes some time that no age counts."""
     world = World("a", "b")
-    world.limits["a"].hear("t", 1.0, sent_at=100.0)
+    world.limits["a"].record_answer("t", 1.0, sent_at=100.0)
     for _ in range(100):
         for giver, taker in (("a", "b"), ("b", "a")):
-            world.limits[giver].forget()
-            words = world.limits[giver].to_tell()
+            world.limits[giver].drop_expired()
+            words = world.limits[giver].next_reports()
             world.now += 0.4
-            world.limits[taker].learn(words, giver)
+            world.limits[taker].merge_reports(words, giver)
             world.now += 0.4
     assert world.now > 160.0
     assert world.rates() == [NO_LIMIT, NO_LIMIT]
@@ -115,11 +115,11 @@
 
 def test_a_restart_that_counts_its_words_anew_is_heard():
     world = World("a", "b")
-    world.limits["a"].hear("t", 1.0, sent_at=100.0)
+    world.limits["a"].record_answer("t", 1.0, sent_at=100.0)
     world.tell("a", "b")
     world.now += 1.0
     world.limits["a"] = world.start("a2")
-    world.limits["a"].hear("t", 2.0, sent_at=100.9)
+    world.limits["a"].record_answer("t", 2.0, sent_at=100.9)
     world.tell("a", "b")
     assert world.rates() == [2.0, 2.0]
 
@@ -127,37 +127,37 @@
 @pytest.mark.parametrize("odd", [word(-1.0), word(math.nan), word(1.0, -5.0), word(1.0, math.nan)])
 def test_words_that_make_no_sense_are_left_out(odd):
     world = World("a")
-    world.limits["a"].learn([odd], "b")
+    world.limits["a"].merge_reports([odd], "b")
     assert world.rates() == [NO_LIMIT]
 
 
 def test_an_unlimited_target_costs_nothing():
     world = World("a")
     for number in range(1000):
-        world.limits["a"].hear(f"t{number}", NO_LIMIT, sent_at=100.0)
-    assert world.limits["a"].to_tell() == []
+        world.limits["a"].record_answer(f"t{number}", NO_LIMIT, sent_at=100.0)
+    assert world.limits["a"].next_reports() == []
 
 
 def test_what_is_kept_and_told_is_bounded():
     world = World("a")
     for number in range(2000):
-        world.limits["a"].hear(f"t{number}", 1.0, sent_at=100.0)
-    told = world.limits["a"].to_tell()
-    assert len(world.limits["a"].limited()) == 500
+        world.limits["a"].record_answer(f"t{number}", 1.0, sent_at=100.0)
+    told = world.limits["a"].next_reports()
+    assert len(world.limits["a"].limited_targets()) == 500
     assert len(told) == 16
     assert not {each.target for each in told} & {
-        each.target for each in world.limits["a"].to_tell()
+        each.target for each in world.limits["a"].next_reports()
     }
 
 
 def test_news_goes_before_what_is_only_confirmed():
     world = World("a")
     for number in range(45):
-        world.limits["a"].hear(f"t{number}", 1.0, sent_at=100.0)
+        world.limits["a"].record_answer(f"t{number}", 1.0, sent_at=100.0)
     for _ in range(10):
-        world.limits["a"].to_tell()
+        world.limits["a"].next_reports()
     world.now += 1.0
     for number in range(45):
-        world.limits["a"].hear(f"t{number}", 1.0, sent_at=100.5)
-    world.limits["a"].hear("t44", 0.5, sent_at=100.5)
-    assert "t44" in {each.target for each in world.limits["a"].to_tell()}
+        world.limits["a"].record_answer(f"t{number}", 1.0, sent_at=100.5)
+    world.limits["a"].record_answer("t44", 0.5, sent_at=100.5)
+    assert "t44" in {each.target for each in world.limits["a"].next_reports()}
--- a/whinrack/dispatch/tests/test_statements.py
+++ b/whinrack/dispatch/tests/test_statements.py
@@ -4,18 +4,18 @@
 
 from whinrack.dispatch import (
     ColdStart,
-    HallWord,
+    HallStatus,
     PoolRecord,
     TargetRecord,
     TargetRegistry,
     TargetStatement,
 )
+from whinrack.dispatch._refusals import BUSY_RETRY_SECONDS, target_full, why_nobody
 from whinrack.dispatch._statements import StatementIntake
-from whinrack.dispatch._turning_away import BUSY_RETRY_SECONDS, target_full, why_nobody
 from whinrack.observability import Metrics
 
 POOL = PoolRecord("p", 0)
-LEAVING = TargetStatement(leaving=True)
+LEAVING = TargetStatement(is_leaving=True)
 
 
 class World:
@@ -25,7 +25,7 @@
         self.now = 100.0
         self.spread = 0
         self.registry = TargetRegistry(seed=1, clock=lambda: self.now)
-        self.registry.heard_leaving.append(self.count_spread)
+        self.registry.on_target_leaving.append(self.count_spread)
         self.metrics = Metrics()
         self.intake = StatementIntake(self.registry, self.metrics)
         self.put("a", started=5)
@@ -35,11 +35,11 @@
         self.spread += 1
 
     def put(self, name, started, leaving=False):
-        record = TargetRecord(name, "p", "h", 1, started=started, leaving=leaving)
+        record = TargetRecord(name, "p", "h", 1, started=started, is_leaving=leaving)
         return self.registry.put(record)
 
     def state(self, name):
-        states = self.registry.of_pool("p")
+        states = self.registry.targets_in_pool("p")
         return next(state for state in states if state.record.incarnation == name)
 
     def hear(self, name, statement):
@@ -68,7 +68,7 @@
     world.hear("a", LEAVING)
     world.hear("a", LEAVING)
     assert world.spread == 1
-    assert [record.incarnation for record in world.registry.leaving()] == ["a"]
+    assert [record.incarnation for record in world.registry.leaving_records()] == ["a"]
 
 
 def test_an_answer_without_the_word_does_not_take_it_back(world):
@@ -102,7 +102,7 @@
 
 
 def test_what_another_target_at_its_address_states_is_not_its_own(world):
-    world.hear("a", TargetStatement(is_other_target=True, did_not_run=True, leaving=True))
+    world.hear("a", TargetStatement(is_misdirected=True, did_not_run=True, is_leaving=True))
     assert world.chosen() == {"a", "b"}
 
 
@@ -111,7 +111,7 @@
         world.put(f"t{number}", started=1)
     for number in (2, 0, 1):
         world.hear(f"t{number}", LEAVING)
-    told = [record.incarnation for record in world.registry.leaving()]
+    told = [record.incarnation for record in world.registry.leaving_records()]
     assert told == ["t2", "t0", "t1"]
 
 
@@ -165,9 +165,9 @@
 
 
 def test_a_limited_target_is_not_asked_in_a_back_off_whether_the_limit_holds(world):
-    world.hear("a", TargetStatement(did_not_run=True, limit=1.0, retry_after=30.0))
+    world.hear("a", TargetStatement(did_not_run=True, rate_limit=1.0, retry_after=30.0))
     world.now += 10.0
-    assert world.registry.limits.asks_again("a@5")
+    assert world.registry.stated_limits.asks_again("a@5")
     assert world.chosen() == {"b"}
 
 
@@ -186,7 +186,7 @@
     cold = PoolRecord("p", 0, cold_start=ColdStart(seconds=100.0, rate=0.0))
     for name in ("a", "b"):
         world.put(name, started=6)
-        world.state(name).warmth.told(100.0, world.now)
+        world.state(name).cold_state.told(100.0, world.now)
     world.hear("a", backoff(0.125))
     refusal = why_nobody(world.registry, cold, world.now)
     assert (refusal.code, refusal.retry_after) == ("targets_cold", 0.125)
@@ -194,7 +194,7 @@
 
 def test_where_the_other_targets_are_in_emptied_halls_the_back_off_counts(world):
     world.registry.put(TargetRecord("c", "p", "h", 1, data_hall="z"))
-    world.registry.learn_of_hall(HallWord("z", 2, True))
+    world.registry.update_hall(HallStatus("z", 2, True))
     world.hear("a", backoff(3.0))
     world.hear("b", backoff(4.0))
     assert why_nobody(world.registry, POOL, world.now).retry_after == 3.0
@@ -203,8 +203,8 @@
 
 def test_fields_that_are_not_known_are_counted_by_name_and_no_more_than_some_of_them(world):
     names = [f"new-{number}" for number in range(25)]
-    world.hear("a", TargetStatement(unknown=tuple(names)))
-    world.hear("a", TargetStatement(unknown=("new-0", "new-24")))
+    world.hear("a", TargetStatement(unknown_fields=tuple(names)))
+    world.hear("a", TargetStatement(unknown_fields=("new-0", "new-24")))
     text = world.metrics.render().decode()
     counted = [line for line in text.splitlines() if "unknown_statements_total{" in line]
     assert len(counted) == 21
--- a/whinrack/dispatch/tests/test_target_ends.py
+++ b/whinrack/dispatch/tests/test_target_ends.py
@@ -34,7 +34,7 @@
         self.registry = TargetRegistry()
         self.ends = TargetEnds(self.registry, self.guard, self.probe_address)
         self.registry.put(RECORD)
-        (self.state,) = self.registry.of_pool("p")
+        (self.state,) = self.registry.targets_in_pool("p")
 
     def probe_address(self, address):
         self.asked.append(address)
@@ -100,7 +100,7 @@
 
 
 def test_a_target_that_said_that_it_leaves_ends_as_planned(world):
-    world.registry.leave("t")
+    world.registry.mark_leaving("t")
     assert world.cut() == []
 
 
--- a/whinrack/dispatch/tests/test_warmth.py
+++ b/whinrack/dispatch/tests/test_warmth.py
@@ -4,14 +4,14 @@
 
 from whinrack.dispatch import (
     ColdStart,
-    HallWord,
+    HallStatus,
     PoolRecord,
     SharedRatePermits,
     TargetRecord,
     TargetRegistry,
     WarmUpLimits,
 )
-from whinrack.dispatch._turning_away import why_nobody
+from whinrack.dispatch._refusals import why_nobody
 
 COLD = ColdStart(seconds=3.0, rate=4.0)
 LIMITS = WarmUpLimits(1.5, 5.0)
@@ -25,7 +25,7 @@
         self.slots = slots
         self.permits = SharedRatePermits("m1", lambda: members)
         self.targets = TargetRegistry(
-            seed=1, permits=self.permits, warm_up=LIMITS, clock=lambda: self.now
+            seed=1, rate_permits=self.permits, warm_up_limits=LIMITS, clock=lambda: self.now
         )
         for name in names:
             self.say(name, 0.0, version=1)
@@ -40,16 +40,18 @@
                 data_hall="z",
                 slots=self.slots,
                 version=version,
-                cold_left=cold_left,
+                cold_seconds_left=cold_left,
                 started=started,
             )
         )
 
     def cold(self):
-        return {state.record.incarnation for state in self.targets.cold("p", COLD, self.now)}
+        return {
+            state.record.incarnation for state in self.targets.cold_targets("p", COLD, self.now)
+        }
 
     def state(self, name):
-        return next(s for s in self.targets.of_pool("p") if s.record.incarnation == name)
+        return next(s for s in self.targets.targets_in_pool("p") if s.record.incarnation == name)
 
     def send(self, rank=0):
         """Choose a target as a request does; returns its name."""
@@ -60,7 +62,7 @@
         return state.record.incarnation
 
     def finish_all(self):
-        for state in self.targets.of_pool("p"):
+        for state in self.targets.targets_in_pool("p"):
             while state.in_flight:
                 self.targets.finished(state)
 
@@ -124,8 +126,8 @@
 
 def test_targets_of_a_hall_that_comes_back_are_cold_whatever_they_said_before():
     world = World("a")
-    world.targets.learn_of_hall(HallWord("z", 5, True))
-    world.targets.learn_of_hall(HallWord("z", 5, False))
+    world.targets.update_hall(HallStatus("z", 5, True))
+    world.targets.update_hall(HallStatus("z", 5, False))
     world.say("a", 0.0)
     assert world.cold() == {"a"}
     world.now += 3.1
@@ -149,7 +151,7 @@
 def test_a_pool_without_a_limit_has_no_cold_targets():
     world = World("a")
     world.say("a", 10.0)
-    assert world.targets.cold("p", None, world.now) == []
+    assert world.targets.cold_targets("p", None, world.now) == []
     assert world.targets.choose("p", "", (), world.now) is not None
 
 
--- a/whinrack/edge/_daemon.py
+++ b/whinrack/edge/_daemon.py
@@ -13,8 +13,8 @@
 from whinrack.clock import steady
 from whinrack.dispatch import (
     Configuration,
+    CurrentConfiguration,
     Dialect,
-    Directory,
     Dispatcher,
     DispatchOptions,
     SharedRatePermits,
@@ -100,15 +100,15 @@
         self.store.unknown_fields.found.append(self._field_unknown)
         self.contact = StoreContact(self._contact_changed)
         self.registry = TargetRegistry(
-            permits=SharedRatePermits(
+            rate_permits=SharedRatePermits(
                 options.name,
                 lambda: self.membership.rate_sharers.members(),
                 lambda: self.membership.missing.is_whole,
             ),
-            warm_up=WarmUpLimits(options.cold_overage, options.cold_slack),
-            limits=StatedLimits(self.holder),
+            warm_up_limits=WarmUpLimits(options.cold_overage, options.cold_slack),
+            stated_limits=StatedLimits(self.holder),
         )
-        self.directory = Directory(self._in_force)
+        self.directory = CurrentConfiguration(self._in_force)
         self.membership = Membership(
             options,
             self.holder,
@@ -148,10 +148,10 @@
             self.membership.spread,
             self._count_invalid,
         )
-        self.registry.heard_leaving.append(self.membership.spread)
+        self.registry.on_target_leaving.append(self.membership.spread)
         self.metrics.backed_off_targets.set_function(lambda: self.registry.backoffs.count(steady()))
         self.limit_log = LimitLog(self.registry, self.metrics, self.membership.spread)
-        self.registry.limits.changed.append(self.limit_log.changed)
+        self.registry.stated_limits.on_change.append(self.limit_log.changed)
         self.warm_up_log = WarmUpLog(self.registry, self.directory, self.metrics)
         self.tokens = TokenExchange(
             options,
@@ -194,7 +194,7 @@
         self.front = HttpServer(
             options.callers,
             self.dispatcher.handle,
-            lambda refusal: dialect.refusal(refusal, None),
+            lambda refusal: dialect.refusal_response(refusal, None),
             lambda: self.directory.limits,
         )
         self.planned_stop = PlannedStop(
@@ -261,7 +261,7 @@
         return [self.halls.follower.run] if self.options.emptying_seconds else []
 
     def _in_force(self, configuration: Configuration) -> None:
-        self.keeper.declare(configuration.version, configuration.limits_by_workspace)
+        self.keeper.declare(configuration.version, configuration.workspace_limits)
         self.metrics.revision.set(configuration.version)
         log_event(Event.CONFIG_TAKEN, version=configuration.version, era=self.store.era.current)
 
@@ -326,7 +326,7 @@
             crowded = self.membership.is_crowded()
             if crowded != self.front.crowded:
                 self.front.crowded = crowded
-                log_event(Event.CROWDED, crowded=crowded, open=self.dispatcher.in_progress)
+                log_event(Event.CROWDED, crowded=crowded, open=self.dispatcher.requests_in_progress)
 
     # --- signals -----------------------------------------------------------------
 
@@ -336,14 +336,14 @@
         self.small_answers.options = options
         self.output.lines_per_second = options.log_lines_per_second
         self.membership.add_seeds(options.seeds)
-        self.dispatcher.use(_dispatch_options(options))
+        self.dispatcher.apply_options(_dispatch_options(options))
 
     def _stop(self) -> None:
         if self.planned_stop.begun:
             return
         self.planned_stop.run(self.options)
         self.upkeep.log_traffic()
-        log_event(Event.ROUTER_STOPPED, in_progress=self.dispatcher.in_progress)
+        log_event(Event.ROUTER_STOPPED, in_progress=self.dispatcher.requests_in_progress)
         self.output.pump()
         sys.stdout.flush()
         os._exit(_EXIT_OK)
--- a/whinrack/edge/_halls.py
+++ b/whinrack/edge/_halls.py
@@ -4,7 +4,7 @@
 
 import eventlet
 
-from whinrack.dispatch import HallWord, TargetRegistry
+from whinrack.dispatch import HallStatus, TargetRegistry
 from whinrack.edge._contact import StoreContact
 from whinrack.edge._readers import HallReader, shown
 from whinrack.edge._relay import KindRelay
@@ -71,12 +71,12 @@
             fed_watch_seconds=_WATCH_SECONDS,
         )
 
-    def learn(self, words: list[HallWord], source: str) -> None:
+    def learn(self, words: list[HallStatus], source: str) -> None:
         """Take in words on halls, from the store or a peer."""
-        news = [word for word in words if self.registry.learn_of_hall(word)]
+        news = [word for word in words if self.registry.update_hall(word)]
         for word in news:
             log_event(
-                Event.HALL_EMPTIED if word.emptied else Event.HALL_BACK,
+                Event.HALL_EMPTIED if word.is_emptied else Event.HALL_BACK,
                 hall=shown(word.hall),
                 version=shown_revision(word.version),
                 source=source,
@@ -93,7 +93,7 @@
         listed = {stored.name for stored in objects if not stored.deleted}
         released = [
             word
-            for word in self.registry.halls.not_listed(listed, revision)
+            for word in self.registry.emptied_halls.released_by_list(listed, revision)
             if era_of(word.version) >= self._era or self._unsettled_era != self._era
         ]
         self.learn([*self._words(objects), *released], "list")
@@ -107,22 +107,22 @@
         snapshot = self.relay.snapshot()
         if snapshot is not None:
             listed = {stored.name for stored in snapshot.objects}
-            released = self.registry.halls.not_listed(listed, snapshot.revision)
+            released = self.registry.emptied_halls.released_by_list(listed, snapshot.revision)
             self.learn(released, "restored store")
 
     def _change(self, objects: tuple[StoredObject, ...]) -> None:
         self.learn(self._words(objects), self.follower.source)
 
-    def _words(self, objects: tuple[StoredObject, ...]) -> list[HallWord]:
+    def _words(self, objects: tuple[StoredObject, ...]) -> list[HallStatus]:
         words = [self._word(stored) for stored in objects]
         return [word for word in words if word is not None]
 
-    def _word(self, stored: StoredObject) -> HallWord | None:
+    def _word(self, stored: StoredObject) -> HallStatus | None:
         """Read one entry; one that can't be read says nothing, and the word before it stays."""
         if stored.deleted:
-            return HallWord(stored.name, stored.version, emptied=False)
+            return HallStatus(stored.name, stored.version, is_emptied=False)
         try:
-            return HallWord(self.reader.read(stored), stored.version, emptied=True)
+            return HallStatus(self.reader.read(stored), stored.version, is_emptied=True)
         except InvalidObject as error:
             self.count_invalid(stored.kind)
             log_event(Event.CONFIG_INVALID, object=shown(stored.name), error=shown(error.message))
--- a/whinrack/edge/_instance_host.py
+++ b/whinrack/edge/_instance_host.py
@@ -4,7 +4,7 @@
 
 from whinrack.budgets import GrantKeeper
 from whinrack.clock import steady
-from whinrack.dispatch import Dispatcher, HallWord
+from whinrack.dispatch import Dispatcher, HallStatus
 from whinrack.edge._contact import StoreContact
 from whinrack.edge._entries import serves_callers
 from whinrack.edge._halls import HallKnowledge
@@ -50,7 +50,7 @@
 
     def open_requests(self) -> int:
         """Return the requests in progress here."""
-        return self.instance.dispatcher.in_progress
+        return self.instance.dispatcher.requests_in_progress
 
     def serves_callers(self, now: float) -> bool:
         """Whether callers' requests come here; the platform's probes are fewer."""
@@ -80,7 +80,7 @@
         """Take in the targets that a peer knows to be gone."""
         self.instance.knowledge.learn_gone(gone)
 
-    def learn_halls(self, words: list[HallWord], peer: str) -> None:
+    def learn_halls(self, words: list[HallStatus], peer: str) -> None:
         """Take in what a peer knows of emptied data halls."""
         self.instance.halls.learn(words, peer)
 
--- a/whinrack/edge/_knowledge.py
+++ b/whinrack/edge/_knowledge.py
@@ -10,7 +10,7 @@
 from returns.result import Success
 
 from whinrack.clock import steady
-from whinrack.dispatch import Directory, TargetRecord, TargetRegistry, TargetsView
+from whinrack.dispatch import CurrentConfiguration, TargetRecord, TargetRegistry, TargetsView
 from whinrack.edge._contact import StoreContact
 from whinrack.edge._lost_entries import LostEntries
 from whinrack.edge._options import HostPort
@@ -75,7 +75,7 @@
         contact: StoreContact,
         configuration_reader: ConfigurationReader,
         target_reader: TargetReader,
-        directory: Directory,
+        directory: CurrentConfiguration,
         registry: TargetRegistry,
         plan: SourcePlan,
         watch_seconds: float,
@@ -253,9 +253,9 @@
                 continue
             try:
                 configuration = self.configuration_reader.read(stored)
-                if self.directory.take(configuration):
+                if self.directory.update(configuration):
                     self._configuration = stored
-                    self._tell_ignored(stored, configuration.ignored)
+                    self._tell_ignored(stored, configuration.ignored_fields)
             except InvalidObject as error:
                 self.count_invalid(stored.kind)
                 log_event(Event.CONFIG_INVALID, object=stored.name, error=shown(error.message))
--- a/whinrack/edge/_limit_log.py
+++ b/whinrack/edge/_limit_log.py
@@ -41,9 +41,9 @@
 
     def changed(self, change: LimitChange) -> None:
         """Log and pass on one change, unless the one before is too recent."""
-        self.metrics.limited_targets.set(len(self.registry.limits.limited()))
+        self.metrics.limited_targets.set(len(self.registry.stated_limits.limited_targets()))
         now = steady()
-        is_another_number = NO_LIMIT not in (change.before, change.rate)
+        is_another_number = NO_LIMIT not in (change.previous_rate, change.rate)
         if not is_another_number or now - self._line_at.get(change.target, 0.0) >= _LINE_SECONDS:
             self._log(change, now)
         if now - self._spread_at >= (_SPREAD_SECONDS if is_another_number else _NEWS_SECONDS):
@@ -59,10 +59,10 @@
             Event.TARGET_LIMITED,
             target=change.target,
             rate=change.rate,
-            before=change.before,
+            before=change.previous_rate,
             source=change.source,
             age=round(change.age, 3),
             request=change.request,
-            share=round(self.registry.bearing.share(change.target), 3),
-            turned_away=self.registry.permits.turned_away_count,
+            share=round(self.registry.rate_limiter.permitted_rate(change.target), 3),
+            turned_away=self.registry.rate_permits.refused_count,
         )
--- a/whinrack/edge/_load_sharing.py
+++ b/whinrack/edge/_load_sharing.py
@@ -32,16 +32,16 @@
 
     def heard(self, message: TargetLoads) -> None:
         """Take in the loads of a peer."""
-        self.registry.elsewhere.heard(message.sender, message.counts, steady(), message.unread)
+        self.registry.remote_loads.update(message.sender, message.counts, steady(), message.unread)
 
     def share_forever(self) -> None:
         """Tell the peers that serve callers how many requests are at each target from here."""
         told = False
         while True:
             eventlet.sleep(self.table.interval(_LOADS_SECONDS))
-            counts = self.registry.loads()
+            counts = self.registry.requests_by_target()
             if counts or told:
-                self._share(TargetLoads(self.name, counts, self.registry.unread()))
+                self._share(TargetLoads(self.name, counts, self.registry.unread_tokens()))
             told = bool(counts)
 
     def _share(self, message: TargetLoads) -> None:
--- a/whinrack/edge/_membership.py
+++ b/whinrack/edge/_membership.py
@@ -10,7 +10,7 @@
 
 from whinrack.budgets import WallReading
 from whinrack.clock import steady
-from whinrack.dispatch import Directory, TargetRegistry
+from whinrack.dispatch import CurrentConfiguration, TargetRegistry
 from whinrack.edge._entries import choose_entries, is_crowded
 from whinrack.edge._load_sharing import LoadSharing
 from whinrack.edge._membership_host import MembershipHost
@@ -61,7 +61,7 @@
         self,
         options: EdgeOptions,
         holder: str,
-        directory: Directory,
+        directory: CurrentConfiguration,
         registry: TargetRegistry,
         host: MembershipHost,
         count_bytes: Callable[[str, Place, int], None],
@@ -111,7 +111,7 @@
     def beat(self) -> None:
         """Send a heartbeat to the peers whose turn it is."""
         # What it changes is told by a heartbeat of its own, ahead of this one.
-        self.registry.limits.forget()
+        self.registry.stated_limits.drop_expired()
         now = steady()
         message = self._heartbeat(now, self.table.news(now))
         receivers = self.table.receivers(now)
@@ -139,7 +139,7 @@
 
     def _heartbeat(self, now: float, passed_on: list[PeerState]) -> Heartbeat:
         self._number += 1
-        leaving = self.registry.leaving()[-_MOST_LEAVING:]
+        leaving = self.registry.leaving_records()[-_MOST_LEAVING:]
         return Heartbeat(
             state=self.own_state(),
             number=self._number,
@@ -151,8 +151,8 @@
             passed_on=passed_on,
             ages=self.table.ages(now),
             suspects=self.host.suspects_checksum(),
-            halls=self.registry.halls.words(),
-            limits=self.registry.limits.to_tell(),
+            halls=self.registry.emptied_halls.statuses(),
+            limits=self.registry.stated_limits.next_reports(),
             misses_peers=self.missing.misses,
         )
 
@@ -256,7 +256,7 @@
         if beat.halls:
             self.host.learn_halls(beat.halls, sender.name)
         self.missing.tell(beat.misses_peers)
-        self.registry.limits.learn(beat.limits, sender.name)
+        self.registry.stated_limits.merge_reports(beat.limits, sender.name)
         self.host.compare_suspects(beat.suspects, sender.address)
         if self._learn_leaving(beat) and not self.table.is_mesh:
             self.spread()
@@ -293,7 +293,7 @@
     def _learn_leaving(self, beat: Heartbeat) -> bool:
         """Take in which targets a peer knows to be leaving; True if that is news."""
         told = itertools.zip_longest(beat.leaving, beat.leaving_started[: len(beat.leaving)])
-        news = [name for name, started in told if self.registry.leave(name, started or 0)]
+        news = [name for name, started in told if self.registry.mark_leaving(name, started or 0)]
         for incarnation in news:
             log_event(Event.TARGET_LEAVING, target=incarnation, source=beat.state.sender.name)
         return bool(news)
--- a/whinrack/edge/_membership_host.py
+++ b/whinrack/edge/_membership_host.py
@@ -1,6 +1,6 @@
 """What the membership asks of the instance that it speaks for, and tells it."""
 
-from whinrack.dispatch import HallWord
+from whinrack.dispatch import HallStatus
 from whinrack.edge._options import HostPort
 from whinrack.gossip import GoneTarget, Message
 
@@ -38,7 +38,7 @@
         """Take in the targets that a peer knows to be gone."""
         raise NotImplementedError
 
-    def learn_halls(self, words: list[HallWord], peer: str) -> None:
+    def learn_halls(self, words: list[HallStatus], peer: str) -> None:
         """Take in what a peer knows of emptied data halls."""
         raise NotImplementedError
 
--- a/whinrack/edge/_stopping.py
+++ b/whinrack/edge/_stopping.py
@@ -61,7 +61,7 @@
         """Finish what was taken and hand the tokens back; returns when all is done."""
         self.begun = True
         signalled = steady()
-        log_event(Event.ROUTER_STOPPING, in_progress=self.dispatcher.in_progress)
+        log_event(Event.ROUTER_STOPPING, in_progress=self.dispatcher.requests_in_progress)
         self.membership.stopping = True
         self.membership.beat()
         self.front.closing = True
@@ -77,9 +77,9 @@
             self.keeper.drain(True)
 
     def _finish_requests(self, end: float) -> None:
-        self.dispatcher.refusing = True
+        self.dispatcher.is_refusing_requests = True
         self.front.close_idle()
-        while self.dispatcher.in_progress and steady() < end:
+        while self.dispatcher.requests_in_progress and steady() < end:
             eventlet.sleep(_POLL_SECONDS)
         self.served = True
 
--- a/whinrack/edge/_warm_up_log.py
+++ b/whinrack/edge/_warm_up_log.py
@@ -5,7 +5,7 @@
 import eventlet
 
 from whinrack.clock import steady
-from whinrack.dispatch import Directory, PoolRecord, TargetRegistry
+from whinrack.dispatch import CurrentConfiguration, PoolRecord, TargetRegistry
 from whinrack.observability import Event, Metrics, log_event
 
 __all__ = ["WarmUpLog"]
@@ -24,7 +24,7 @@
     metrics : Metrics
     """
 
-    def __init__(self, registry: TargetRegistry, directory: Directory, metrics: Metrics):
+    def __init__(self, registry: TargetRegistry, directory: CurrentConfiguration, metrics: Metrics):
         self.registry = registry
         self.directory = directory
         self.metrics = metrics
@@ -38,7 +38,7 @@
 
     def look(self) -> None:
         """Log what has changed since the last look."""
-        self.metrics.emptied_halls.set(len(self.registry.halls.emptied))
+        self.metrics.emptied_halls.set(len(self.registry.emptied_halls.names))
         pools = self.directory.pools
         self.metrics.cold_targets.set(sum(map(self._look_at, pools)))
 
@@ -46,20 +46,20 @@
         """Return how many targets of a pool are cold."""
         if pool.cold_start is None:
             return 0
-        states = self.registry.cold(pool.name, pool.cold_start, steady())
+        states = self.registry.cold_targets(pool.name, pool.cold_start, steady())
         names = frozenset(state.record.identity for state in states)
         if names != self._told.get(pool.name, frozenset()):
             self._told[pool.name] = names
-            bound = self.registry.bearing.warm_up.bound(pool.cold_start.rate)
-            shares = self.registry.permits.held(dict.fromkeys(names, bound)).values()
+            bound = self.registry.rate_limiter.warm_up_limits.rate_bound(pool.cold_start.rate)
+            shares = self.registry.rate_permits.held_shares(dict.fromkeys(names, bound)).values()
             log_event(
                 Event.TARGETS_COLD,
                 pool=pool.name,
                 cold=len(names),
-                of=len(self.registry.of_pool(pool.name)),
-                why=dict(Counter(state.warmth.reason.value for state in states)),
+                of=len(self.registry.targets_in_pool(pool.name)),
+                why=dict(Counter(state.cold_state.reason.value for state in states)),
                 held=len(shares),
                 rate=round(max((share.rate for share in shares), default=0.0), 2),
-                turned_away=self.registry.permits.turned_away_count,
+                turned_away=self.registry.rate_permits.refused_count,
             )
         return len(names)
--- a/whinrack/edge/tests/test_halls.py
+++ b/whinrack/edge/tests/test_halls.py
@@ -3,7 +3,7 @@
 import msgspec
 
 from standins.memory_store import MemoryStore
-from whinrack.dispatch import HallWord, TargetRegistry
+from whinrack.dispatch import HallStatus, TargetRegistry
 from whinrack.edge import HallReader
 from whinrack.edge._contact import StoreContact
 from whinrack.edge._halls import HallKnowledge
@@ -45,7 +45,7 @@
         self.spreads += 1
 
     def emptied(self):
-        return self.registry.halls.emptied
+        return self.registry.emptied_halls.names
 
     def changes(self, *objects):
         self.knowledge._change(objects)
@@ -66,7 +66,7 @@
 
 def test_a_list_of_a_feeder_that_is_behind_takes_nothing_back():
     world = World()
-    world.knowledge.learn([HallWord("z", 9, True)], "peer")
+    world.knowledge.learn([HallStatus("z", 9, True)], "peer")
     world.knowledge._replace((), 8)
     assert world.emptied() == {"z"}
     world.knowledge._replace((), 9)
@@ -102,7 +102,7 @@
 
 def test_a_peers_word_counts_and_is_passed_on_once():
     world = World()
-    words = [HallWord("z", 4, True), HallWord("y", 5, False)]
+    words = [HallStatus("z", 4, True), HallStatus("y", 5, False)]
     world.knowledge.learn(words, "peer")
     world.knowledge.learn(words, "another")
     assert (world.emptied(), world.spreads) == ({"z"}, 1)
@@ -115,6 +115,6 @@
             return super().list(kinds).map(lambda _: Snapshot(7, found.objects))
 
     world = World(Forgetful())
-    world.knowledge.learn([HallWord("z", 6, True)], "peer")
+    world.knowledge.learn([HallStatus("z", 6, True)], "peer")
     assert world.knowledge.follower.step()
     assert world.emptied() == set()
--- a/whinrack/edge/tests/test_knowledge.py
+++ b/whinrack/edge/tests/test_knowledge.py
@@ -8,7 +8,7 @@
 from returns.result import Failure
 
 from standins.memory_store import MemoryStore
-from whinrack.dispatch import Configuration, Directory, TargetRecord, TargetRegistry
+from whinrack.dispatch import Configuration, CurrentConfiguration, TargetRecord, TargetRegistry
 from whinrack.edge._contact import StoreContact
 from whinrack.edge._knowledge import StoreKnowledge
 from whinrack.edge._readers import ConfigurationReader, TargetReader
@@ -34,7 +34,7 @@
 
     def read(self, stored):
         leaving = msgspec.json.decode(stored.value) == "leaving"
-        return TargetRecord(stored.name, "pool", "host", 1, leaving=leaving)
+        return TargetRecord(stored.name, "pool", "host", 1, is_leaving=leaving)
 
 
 class DownStore(MemoryStore):
@@ -56,7 +56,7 @@
 
     def __init__(self, store, plan=None):
         self.answer = None
-        self.directory = Directory(lambda configuration: None)
+        self.directory = CurrentConfiguration(lambda configuration: None)
         self.registry = TargetRegistry()
         self.contact = StoreContact(lambda answers: None)
         self.knowledge = StoreKnowledge(
@@ -77,7 +77,7 @@
         self.knowledge._catch_up(PEER)
 
     def targets(self):
-        return {state.record.incarnation for state in self.registry.of_pool("pool")}
+        return {state.record.incarnation for state in self.registry.targets_in_pool("pool")}
 
 
 @pytest.fixture
@@ -261,7 +261,7 @@
 
     def with_ignored(reader, stored):
         configuration = read(reader, stored)
-        configuration.ignored = ("app: cold_per_s: allowed is 0 to 9",)
+        configuration.ignored_fields = ("app: cold_per_s: allowed is 0 to 9",)
         return configuration
 
     invalid = []
@@ -325,4 +325,4 @@
     world.knowledge._change_targets((late,), "peer")
     world.knowledge.learn_gone([GoneTarget("t", compose_revision(1, 99))])
     assert world.targets() == {"t"}
-    assert not world.registry.leaving()
+    assert not world.registry.leaving_records()
--- a/whinrack/edge/tests/test_limit_log.py
+++ b/whinrack/edge/tests/test_limit_log.py
@@ -14,11 +14,11 @@
         monkeypatch.setattr(module, "log_event", lambda event, **fields: self.lines.append(fields))
         self.registry = TargetRegistry(clock=lambda: self.now)
         log = LimitLog(self.registry, Metrics(), lambda: self.spreads.append(self.now))
-        self.registry.limits.changed.append(log.changed)
+        self.registry.stated_limits.on_change.append(log.changed)
 
     def answer(self, rate, target="t"):
         self.now += 0.1
-        self.registry.limits.hear(target, rate, self.now)
+        self.registry.stated_limits.record_answer(target, rate, self.now)
 
 
 def test_many_numbers_give_a_line_and_a_heartbeat_a_second(monkeypatch):
--- a/whinrack/edge/tests/test_membership.py
+++ b/whinrack/edge/tests/test_membership.py
@@ -4,7 +4,7 @@
 import pytest
 
 from whinrack.clock import steady
-from whinrack.dispatch import Directory, TargetRegistry
+from whinrack.dispatch import CurrentConfiguration, TargetRegistry
 from whinrack.edge import EdgeOptions
 from whinrack.edge._membership import Membership
 from whinrack.edge._membership_host import MembershipHost
@@ -86,7 +86,12 @@
     """An instance that knows thirty others in three halls."""
     registry = TargetRegistry()
     member = Membership(
-        OPTIONS, "a.1", Directory(lambda configuration: None), registry, Host(), lambda *_: None
+        OPTIONS,
+        "a.1",
+        CurrentConfiguration(lambda configuration: None),
+        registry,
+        Host(),
+        lambda *_: None,
     )
     member.link = Link()
     for number in range(30):
--- a/whinrack/edge/tests/test_shared_retries.py
+++ b/whinrack/edge/tests/test_shared_retries.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from whinrack.dispatch import Directory, RetryAllowance, TargetRegistry
+from whinrack.dispatch import CurrentConfiguration, RetryBudget, TargetRegistry
 from whinrack.edge import EdgeOptions, _membership, _missing_peers
 from whinrack.edge._membership import Membership
 from whinrack.edge.tests.peer_world import ready_state
@@ -38,7 +38,7 @@
             ready=None,
             gossip=(f"10.0.0.{number}", 7340),
         )
-        directory = Directory(lambda configuration: None)
+        directory = CurrentConfiguration(lambda configuration: None)
         return Membership(options, f"m{number}.1", directory, TargetRegistry(), Host(), _nothing)
 
     def pass_time(self, seconds, reaches=lambda one, other: True):
@@ -60,7 +60,7 @@
         """Return what all instances together send again if each takes what it may."""
         taken = 0
         for member in self.members:
-            allowance = RetryAllowance(_RATIO, _SLACK, _WINDOW)
+            allowance = RetryBudget(_RATIO, _SLACK, _WINDOW)
             for _ in range(_REQUESTS):
                 allowance.record_request(self.now)
             while allowance.try_take(self.now, member.sharing_instances()):
--- a/whinrack/gossip/_messages.py
+++ b/whinrack/gossip/_messages.py
@@ -4,7 +4,7 @@
 import xxhash
 
 from whinrack.budgets import DrawOrder, DrawResult, ReleasedRow, RunRelease
-from whinrack.dispatch import HallWord, LimitWord
+from whinrack.dispatch import HallStatus, LimitReport
 from whinrack.quarantine import Case
 
 __all__ = [
@@ -146,8 +146,8 @@
     asks_for_states: bool = False
     suspects: int = 0
     leaving_started: list[int] = []
-    halls: list[HallWord] = []
-    limits: list[LimitWord] = []
+    halls: list[HallStatus] = []
+    limits: list[LimitReport] = []
     misses_peers: bool = False
 
 
--- a/whinrack/gossip/tests/test_versions.py
+++ b/whinrack/gossip/tests/test_versions.py
@@ -3,7 +3,7 @@
 import msgspec
 import pytest
 
-from whinrack.dispatch import HallWord
+from whinrack.dispatch import HallStatus
 from whinrack.gossip import Heartbeat, Message, PeerAddress, PeerState, SuspectCases
 from whinrack.quarantine import Case
 
@@ -43,7 +43,7 @@
         leaving=["t"],
         suspects=7,
         leaving_started=[5],
-        halls=[HallWord("z", 4, True)],
+        halls=[HallStatus("z", 4, True)],
     )
     read = msgspec.msgpack.decode(msgspec.msgpack.encode(beat), type=EarlierHeartbeat)
     assert (read.number, read.leaving) == (3, ["t"])
@@ -58,7 +58,7 @@
 
 
 def test_words_on_halls_travel_with_a_heartbeat():
-    words = [HallWord("z", 4, True), HallWord("odd \u20ac\u0001", 9, False)]
+    words = [HallStatus("z", 4, True), HallStatus("odd \u20ac\u0001", 9, False)]
     beat = Heartbeat(state=STATE, halls=words)
     assert msgspec.msgpack.decode(msgspec.msgpack.encode(beat), type=Message).halls == words
 
