--- a/benchmarks/bench_budgets.py
+++ b/benchmarks/bench_budgets.py
@@ -19,13 +19,13 @@
 from standins.memory_store import MemoryStore
 from whinrack.budgets import (
     ACCOUNT_KIND,
-    AccountDrawer,
+    AccountWriter,
     BudgetAccount,
-    BudgetKeeper,
+    BudgetManager,
     DrawOrder,
-    SpareSource,
-    SpareTotal,
+    SpareTokenSource,
     TokenSource,
+    TransferTotal,
     apply_draws,
     apply_topups,
 )
@@ -78,13 +78,13 @@
     def __init__(self, env, limit, weighting, horizon=600.0):
         super().__init__(env, limit, weighting)
         self.horizon = horizon
-        self.drawer = AccountDrawer(self.store, nullcontext, seed=1, sleep=lambda seconds: None)
+        self.drawer = AccountWriter(self.store, nullcontext, seed=1, sleep=lambda seconds: None)
         self.generation = dict.fromkeys(range(INSTANCES), 1)
         self.keepers = {i: self._keeper(i) for i in range(INSTANCES)}
         env.process(self._report())
 
     def _keeper(self, instance):
-        return BudgetKeeper(
+        return BudgetManager(
             f"r{instance}.{self.generation[instance]}",
             _Direct(self.drawer),
             _Peers(self, instance),
@@ -129,16 +129,16 @@
         return self.drawer.draw(order)
 
 
-class _Peers(SpareSource):
+class _Peers(SpareTokenSource):
     def __init__(self, ways, instance):
         self.ways, self.instance = ways, instance
 
-    def gather(self, budget, need, wish, received):
+    def request_from_peers(self, budget, need, wish, received):
         own = self.ways.keepers[self.instance].holder
         for peer, keeper in self.ways.keepers.items():
             if peer != self.instance:
                 total = keeper.give(budget, own, received.get(keeper.holder, 0), need, wish)
-                yield SpareTotal(keeper.holder, total)
+                yield TransferTotal(keeper.holder, total)
 
 
 class WritePerRequest(Ways):
--- a/benchmarks/bench_capacity.py
+++ b/benchmarks/bench_capacity.py
@@ -16,10 +16,10 @@
 from whinrack.budgets import (
     BudgetAccount,
     BudgetEntry,
-    BudgetKeeper,
+    BudgetManager,
     DemandEstimate,
     DrawOrder,
-    SpareSource,
+    SpareTokenSource,
     TokenSource,
     apply_draws,
     apply_topups,
@@ -132,8 +132,8 @@
         return Success(draw_result(account, order))
 
 
-class _NoSpares(SpareSource):
-    def gather(self, budget, need, wish, received):
+class _NoSpares(SpareTokenSource):
+    def request_from_peers(self, budget, need, wish, received):
         return ()
 
 
@@ -145,7 +145,7 @@
         source = _Source()
 
         def build(budgets=budgets, source=source):
-            keeper = BudgetKeeper("r.1", source, _NoSpares())
+            keeper = BudgetManager("r.1", source, _NoSpares())
             for number in range(budgets):
                 name = f"budget-{number:06d}"
                 keeper.cover("a", name, 100, Weighting.OVERSPEND).unwrap().settle(0)
@@ -165,12 +165,12 @@
 
         covers.append((budgets, 1e6 * seconds_of(cover, 2000)))
         # Nine in ten are idle by then: spent to the last token, and reported.
-        for number, held in enumerate(keeper._held.values()):
+        for number, held in enumerate(keeper._holdings.values()):
             if number % 10:
                 tokens = held.ledger.spendable
                 held.ledger.open(tokens).unwrap().settle(tokens)
                 held.demand = DemandEstimate()
-        keeper.report(everything=True)
+        keeper.report(include_idle=True)
         keeper.report()
         reports.append((budgets, 1e3 * seconds_of(keeper.report, 3)))
     show("held_budgets_memory", memory, "B", "budget")
@@ -286,7 +286,7 @@
     for count in (1000, 5000, 20_000):
 
         def build(count=count):
-            kept = RequestMemory("r.1", limit=count)
+            kept = RequestMemory("r.1", max_entries=count)
             for number in range(count):
                 kept.reserve(f"workspace-1/key-{number:012d}", digest, 0.0)
                 kept.set_state(f"workspace-1/key-{number:012d}", RunState.FINISHED, 0.0)
--- a/benchmarks/bench_edge.py
+++ b/benchmarks/bench_edge.py
@@ -5,7 +5,13 @@
 import msgspec
 
 from benchmarks.report import report, section
-from whinrack.budgets import BudgetAccount, DrawOrder, ReleaseSchedule, apply_draws, books_for
+from whinrack.budgets import (
+    BudgetAccount,
+    DrawOrder,
+    ReleaseSchedule,
+    apply_draws,
+    results_for_holder,
+)
 from whinrack.dispatch import TargetRecord, TargetRegistry
 from whinrack.gossip import Heartbeat, PeerAddress, PeerState, PeerTable
 
@@ -60,7 +66,7 @@
             account = decode(data)
             orders = _orders(0, 2)
             apply_draws(account, orders)
-            books_for(account, orders[0].holder, orders)
+            results_for_holder(account, orders[0].holder, orders)
             msgspec.json.encode(account)
 
         report("books", len(data), "B", holders=holders, budgets=BUDGETS)
--- a/examples/books.py
+++ b/examples/books.py
@@ -20,7 +20,7 @@
 
     order = ledger.next_order(need=300)
     apply_draws(account, [order])
-    ledger.learn(order, draw_result(account, order))
+    ledger.apply_result(order, draw_result(account, order))
     cover = ledger.open(250).unwrap()
     cover.settle(billed=180)
     print("spendable at the router:", ledger.spendable)
--- a/tests/sessions.py
+++ b/tests/sessions.py
@@ -7,10 +7,10 @@
 import simpy
 
 from whinrack.budgets import release_holder
-from whinrack.budgets.tests.test_books import Fleet
+from whinrack.budgets.tests.test_budget_manager import Fleet
 from whinrack.feed import ConfigStore
 from whinrack.objects import RequestClass, Target, TargetPool, Weighting, Workspace
-from whinrack.requests import Identity, RequestMemory, RunState, body_digest
+from whinrack.requests import RequestIdentity, RequestMemory, RunState, body_digest
 from whinrack.routing import EjectAlone, PickQuery, PoolState, TargetView, Waiter
 from whinrack.store import StoredObject
 
@@ -90,7 +90,7 @@
 
     def report():
         clock()
-        failed = sum(keeper.report() for keeper in fleet.keepers.values())
+        failed = sum(keeper.report() for keeper in fleet.managers.values())
         session.say("all", f"report, {failed} failed")
 
     def platform(down):
@@ -98,7 +98,7 @@
         session.say("platform", "away" if down else "back")
 
     def kill(holder):
-        del fleet.keepers[holder]
+        del fleet.managers[holder]
         session.say(holder, "killed")
 
     def release(holder, served):
@@ -108,7 +108,7 @@
 
     def drain(holder):
         clock()
-        session.say(holder, f"planned stop, complete: {fleet.keepers[holder].drain()}")
+        session.say(holder, f"planned stop, complete: {fleet.managers[holder].drain()}")
 
     for number, holder in enumerate(("north.1", "south.1", "west.1")):
         session.at(1 + number, cover, f"a{number}", holder, 150)
@@ -148,7 +148,7 @@
     session = Session()
     memories = {name: RequestMemory(name) for name in ("a.1", "b.1", "c.1")}
     digest = body_digest(b"alert")
-    key = Identity.from_header("w", "alert-7").name
+    key = RequestIdentity.from_header("w", "alert-7").name
 
     def reserve(who):
         memories[who].reserve(key, digest, session.env.now)
--- a/whinrack/budgets/__init__.py
+++ b/whinrack/budgets/__init__.py
@@ -1,66 +1,71 @@
 """Prepaid budgets: books in the platform, grants at the instances, covers of requests."""
 
-from whinrack.budgets._books import (
+from whinrack.budgets._account import (
     AccountRow,
     BudgetAccount,
     BudgetEntry,
     DrawOrder,
     DrawResult,
 )
+from whinrack.budgets._account_updates import account_name, apply_draws, apply_topups
+from whinrack.budgets._account_writer import ACCOUNT_KIND, AccountBackend, AccountWriter, OrderBatch
+from whinrack.budgets._budget_manager import (
+    BudgetManager,
+    SpareTokenSource,
+    TokenSource,
+    TransferTotal,
+)
 from whinrack.budgets._demand import DemandEstimate
-from whinrack.budgets._drawer import ACCOUNT_KIND, AccountDrawer, BookSource, OrderBatch
-from whinrack.budgets._draws import account_name, apply_draws, apply_topups
+from whinrack.budgets._draw_results import draw_result, read_books, results_for_holder
 from whinrack.budgets._grant import GrantOptions
-from whinrack.budgets._grants import GrantKeeper
-from whinrack.budgets._keeper import BudgetKeeper, SpareSource, SpareTotal, TokenSource
+from whinrack.budgets._grant_manager import GrantManager
 from whinrack.budgets._ledger import BudgetLedger, Cover
-from whinrack.budgets._reading import books_for, draw_result, read_books
 from whinrack.budgets._release import (
     ReleasedRow,
     RunRelease,
-    earlier_runs,
+    find_earlier_runs,
     release_earlier_runs,
     release_holder,
 )
 from whinrack.budgets._schedule import (
     ReleaseGuard,
     ReleaseSchedule,
-    RestartMoment,
-    WallReading,
+    RestartTime,
+    WallClockReading,
 )
 
 __all__ = [
     "ACCOUNT_KIND",
-    "AccountDrawer",
+    "AccountWriter",
     "AccountRow",
-    "BookSource",
+    "AccountBackend",
     "BudgetAccount",
     "BudgetEntry",
-    "BudgetKeeper",
+    "BudgetManager",
     "BudgetLedger",
     "Cover",
     "DemandEstimate",
     "DrawOrder",
     "DrawResult",
-    "GrantKeeper",
+    "GrantManager",
     "GrantOptions",
     "OrderBatch",
     "ReleaseGuard",
     "ReleaseSchedule",
     "ReleasedRow",
     "RunRelease",
-    "RestartMoment",
-    "SpareSource",
-    "SpareTotal",
+    "RestartTime",
+    "SpareTokenSource",
+    "TransferTotal",
     "TokenSource",
-    "WallReading",
+    "WallClockReading",
     "account_name",
     "apply_draws",
     "apply_topups",
-    "books_for",
+    "results_for_holder",
     "draw_result",
     "read_books",
-    "earlier_runs",
+    "find_earlier_runs",
     "release_earlier_runs",
     "release_holder",
 ]
--- a/whinrack/budgets/_draws.py
+++ b/whinrack/budgets/_account_updates.py
@@ -2,8 +2,8 @@
 
 import xxhash
 
-from whinrack.budgets._books import AccountRow, BudgetAccount, BudgetEntry, DrawOrder
-from whinrack.budgets._restoring import is_of_earlier_era, learn_taken
+from whinrack.budgets._account import AccountRow, BudgetAccount, BudgetEntry, DrawOrder
+from whinrack.budgets._store_restore import is_of_earlier_era, learn_taken
 
 __all__ = ["account_name", "apply_draws", "apply_topups"]
 
--- a/whinrack/budgets/_drawer.py
+++ b/whinrack/budgets/_account_writer.py
@@ -4,17 +4,22 @@
 
 from returns.result import Failure, Result, Success
 
-from whinrack.budgets._books import BudgetAccount, DrawOrder, DrawResult
-from whinrack.budgets._draws import apply_draws
-from whinrack.budgets._keeper import TokenSource
-from whinrack.budgets._reading import books_for, draw_result
-from whinrack.budgets._release import ReleasedRow, RunRelease, earlier_runs, release_earlier_runs
-from whinrack.budgets._restoring import are_of_earlier_era, end_hold, is_later, restored
+from whinrack.budgets._account import BudgetAccount, DrawOrder, DrawResult
+from whinrack.budgets._account_updates import apply_draws
+from whinrack.budgets._budget_manager import TokenSource
+from whinrack.budgets._draw_results import draw_result, results_for_holder
+from whinrack.budgets._release import (
+    ReleasedRow,
+    RunRelease,
+    find_earlier_runs,
+    release_earlier_runs,
+)
+from whinrack.budgets._store_restore import are_of_earlier_era, end_hold, is_later, restored
 from whinrack.clock import steady
 from whinrack.exceptions import NotFound, PlatformFailure
 from whinrack.store import ObjectEditor, ObjectStore
 
-__all__ = ["ACCOUNT_KIND", "AccountDrawer", "BookSource", "OrderBatch"]
+__all__ = ["ACCOUNT_KIND", "AccountWriter", "AccountBackend", "OrderBatch"]
 
 ACCOUNT_KIND = "BudgetAccount"
 # For so long after the store came back from a copy holders state what they hold before anybody
@@ -56,25 +61,27 @@
     """Write at once."""
 
 
-class BookSource:
+class AccountBackend:
     """Where a holder's orders for several budgets go: the books, or a peer that writes."""
 
-    def draw_books(self, orders: list[DrawOrder]) -> Result[dict[str, DrawResult], PlatformFailure]:
+    def draw_for_holder(
+        self, orders: list[DrawOrder]
+    ) -> Result[dict[str, DrawResult], PlatformFailure]:
         """Apply one holder's orders for one account; returns the state of all budgets."""
         raise NotImplementedError
 
-    def earlier_runs(self, account: str, holder: str) -> Result[list[str], PlatformFailure]:
+    def find_earlier_runs(self, account: str, holder: str) -> Result[list[str], PlatformFailure]:
         """Read which earlier runs of the holder's instance have open rows."""
         raise NotImplementedError
 
-    def release(
+    def release_runs(
         self, account: str, release: RunRelease
     ) -> Result[list[ReleasedRow], PlatformFailure]:
         """Give back what earlier runs of an instance held and can't have used."""
         raise NotImplementedError
 
 
-class AccountDrawer(TokenSource, BookSource):
+class AccountWriter(TokenSource, AccountBackend):
     """Draws from the platform; orders that arrive during a write share the next one.
 
     Parameters
@@ -83,7 +90,7 @@
         Where the account objects are.
     make_lock : callable
         Makes a lock that waiting green threads queue on, one for each account.
-    collect : callable, optional
+    before_write : callable, optional
         Called with the `OrderBatch` before each write; orders that arrive while it pauses
         share the write.
     clock : callable, optional
@@ -99,13 +106,13 @@
         self,
         store: ObjectStore,
         make_lock: Callable,
-        collect: Callable[[OrderBatch], None] = _no_pause,
+        before_write: Callable[[OrderBatch], None] = _no_pause,
         clock: Callable[[], float] = steady,
         **editor_options,
     ):
         self.store = store
         self.make_lock = make_lock
-        self.collect = collect
+        self.before_write = before_write
         self.clock = clock
         # The latest books of an account that this writer has written or read.
         self._latest: dict[str, BudgetAccount] = {}
@@ -119,10 +126,14 @@
         """Apply an order together with the others that wait for the same account."""
         return self.draw_many([order]).map(lambda account: draw_result(account, order))
 
-    def draw_books(self, orders: list[DrawOrder]) -> Result[dict[str, DrawResult], PlatformFailure]:
+    def draw_for_holder(
+        self, orders: list[DrawOrder]
+    ) -> Result[dict[str, DrawResult], PlatformFailure]:
         """Apply one holder's orders for one account; returns the state of all budgets."""
         holder = orders[0].holder
-        return self.draw_many(orders).map(lambda account: books_for(account, holder, orders))
+        return self.draw_many(orders).map(
+            lambda account: results_for_holder(account, holder, orders)
+        )
 
     def draw_many(self, orders: list[DrawOrder]) -> Result[BudgetAccount, PlatformFailure]:
         """Apply orders for one account, with the others that wait for it.
@@ -137,15 +148,15 @@
         batch.orders.extend(orders)
         return self._written(account, batch)
 
-    def earlier_runs(self, account: str, holder: str) -> Result[list[str], PlatformFailure]:
+    def find_earlier_runs(self, account: str, holder: str) -> Result[list[str], PlatformFailure]:
         """Read which earlier runs of the holder's instance have open rows."""
         books = self._editor.read(account)
         books.map(lambda value: self._remember(account, value))
         if isinstance(books, Failure) and isinstance(books.failure(), NotFound):
             return Success([])
-        return books.map(lambda value: earlier_runs(value, holder))
+        return books.map(lambda value: find_earlier_runs(value, holder))
 
-    def release(
+    def release_runs(
         self, account: str, release: RunRelease
     ) -> Result[list[ReleasedRow], PlatformFailure]:
         """Give back what earlier runs of an instance held and can't have used."""
@@ -158,7 +169,7 @@
         lock = self._locks.setdefault(account, self.make_lock())
         with lock:
             if batch.result is None:
-                self.collect(batch)
+                self.before_write(batch)
                 self._batches.pop(account)
                 batch.result = self._editor.apply(
                     account, lambda books: self._changed(account, batch, books)
--- a/whinrack/budgets/_keeper.py
+++ b/whinrack/budgets/_budget_manager.py
@@ -7,14 +7,14 @@
 
 from returns.result import Failure, Result, Success
 
-from whinrack.budgets._books import DrawOrder, DrawResult
+from whinrack.budgets._account import DrawOrder, DrawResult
 from whinrack.budgets._demand import DemandEstimate
 from whinrack.budgets._ledger import BudgetLedger, Cover
 from whinrack.clock import steady
 from whinrack.exceptions import BudgetContended, BudgetExhausted, Refusal, WhinrackError
 from whinrack.objects import Weighting
 
-__all__ = ["BudgetKeeper", "SpareSource", "SpareTotal", "TokenSource"]
+__all__ = ["BudgetManager", "SpareTokenSource", "TransferTotal", "TokenSource"]
 
 _NO_FREE_FIRST = 0.5
 _NO_FREE_LONGEST = 5.0
@@ -34,7 +34,7 @@
         raise NotImplementedError
 
 
-class SpareTotal(NamedTuple):
+class TransferTotal(NamedTuple):
     """A peer's cumulative total of tokens that it gave to this incarnation.
 
     Attributes
@@ -45,29 +45,29 @@
 
     giver: str
     total: int
-    covering: int = 0
+    unreported_use: int = 0
 
 
-class SpareSource:
+class SpareTokenSource:
     """The peers that may hold unspent tokens."""
 
-    def gather(
+    def request_from_peers(
         self, budget: str, need: int, wish: int, received: dict[str, int]
-    ) -> Iterable[SpareTotal]:
+    ) -> Iterable[TransferTotal]:
         """Ask peers for tokens and yield what each has given in all."""
         raise NotImplementedError
 
-    def peers_asked(self) -> int:
+    def peer_count(self) -> int:
         """Return how many peers `gather` asks now."""
         raise NotImplementedError
 
-    def borrow(
+    def request_peer_draw(
         self, budget: str, need: int, wish: int, received: dict[str, int]
-    ) -> Iterable["SpareTotal"]:
+    ) -> Iterable[TransferTotal]:
         """Ask a peer that reaches the books to draw for this run."""
         raise NotImplementedError
 
-    def supplies(self, budget: str) -> bool:
+    def is_supplier(self, budget: str) -> bool:
         """Whether this run draws a budget ahead for its peers too; by default for itself."""
         return True
 
@@ -75,9 +75,9 @@
         """Return the instance that draws a budget ahead, empty for this one; for logs."""
         return ""
 
-    def ask_supplier(
+    def request_from_supplier(
         self, budget: str, need: int, wish: int, received: dict[str, int]
-    ) -> Iterable["SpareTotal"]:
+    ) -> Iterable[TransferTotal]:
         """Ask the peer that draws a budget ahead for all."""
         return ()
 
@@ -99,7 +99,7 @@
         self.last: DrawResult | None = None
 
 
-class BudgetKeeper:
+class BudgetManager:
     """All budgets that this incarnation holds tokens of.
 
     Parameters
@@ -127,7 +127,7 @@
         self,
         holder: str,
         source: TokenSource,
-        spares: SpareSource,
+        spares: SpareTokenSource,
         report_after: float = 10.0,
         horizon: float = 600.0,
         gather_wait: float = _GATHER_WAIT,
@@ -145,7 +145,7 @@
         self.sleep = sleep
         self.make_lock = make_lock
         self.stopping = False
-        self._held: dict[str, _Held] = {}
+        self._holdings: dict[str, _Held] = {}
         # Those with something to report, to draw ahead or to return.
         self._active: dict[str, _Held] = {}
 
@@ -176,14 +176,14 @@
 
         What is settled here is reported soon, so that the peer learns what is left.
         """
-        held = self._held.get(budget)
+        held = self._holdings.get(budget)
         if held is None:
             return 0
         held.reported_at = float("-inf")
         self._active[budget] = held
         return held.ledger.give(receiver, already_received, need, wish)
 
-    def report(self, everything: bool = False) -> int:
+    def report(self, include_idle: bool = False) -> int:
         """Report settled amounts, draw ahead and return surplus.
 
         Returns
@@ -191,25 +191,25 @@
         int
             Orders that failed; they are sent again with the next report.
         """
-        if everything:
-            self._active.update(self._held)
-        return sum(self._report_one(held, everything) for held in list(self._active.values()))
+        if include_idle:
+            self._active.update(self._holdings)
+        return sum(self._report_one(held, include_idle) for held in list(self._active.values()))
 
     def drain(self) -> bool:
         """Give everything back for a planned stop; True once the books know it."""
         self.stopping = True
-        drained = [self._drain_one(held) for held in list(self._held.values())]
+        drained = [self._drain_one(held) for held in list(self._holdings.values())]
         return all(drained)
 
     def ledgers(self) -> list[BudgetLedger]:
         """Return the ledgers, for status and metrics."""
-        return [held.ledger for held in self._held.values()]
+        return [held.ledger for held in self._holdings.values()]
 
     def _get(self, account: str, budget: str) -> _Held:
-        held = self._held.get(budget)
+        held = self._holdings.get(budget)
         if held is None:
             ledger = BudgetLedger(account, budget, self.holder)
-            held = self._held[budget] = _Held(ledger, self.make_lock())
+            held = self._holdings[budget] = _Held(ledger, self.make_lock())
         self._active[budget] = held
         return held
 
@@ -239,7 +239,7 @@
             held.last = None
             return False
         held.last = result.unwrap()
-        held.ledger.learn(order, held.last)
+        held.ledger.apply_result(order, held.last)
         self._pace(held)
         return True
 
@@ -259,14 +259,14 @@
         before = ledger.spendable
         wish = self._want(held)
         received = dict(ledger.received)
-        for spare in self.spares.gather(ledger.budget, need, wish, received):
+        for spare in self.spares.request_from_peers(ledger.budget, need, wish, received):
             ledger.receive(spare.giver, spare.total)
         if ledger.spendable < before + need:
             held.no_spare_until = now + _NO_SPARE_SECONDS
 
     def _report_one(self, held: _Held, everything: bool) -> int:
         ledger = held.ledger
-        if ledger.closed or self._idle(held):
+        if ledger.is_closed or self._idle(held):
             self._active.pop(ledger.budget, None)
             return 0
         now = self.clock()
@@ -276,7 +276,7 @@
             ledger.give_back(surplus)
         short = 0 if self.stopping or now < held.no_free_until else want - ledger.spendable
         wish = short if short > want // 2 and now >= held.wished_at + _WISH_PAUSE else 0
-        due = ledger.unreported and now >= held.reported_at + self.report_after
+        due = ledger.has_unreported_totals and now >= held.reported_at + self.report_after
         if not (wish or due or everything):
             return 0
         if wish:
@@ -292,11 +292,11 @@
         """Whether nothing is left to do for a budget until it is used again."""
         ledger = held.ledger
         empty = ledger.spendable == 0 and ledger.open_cover == 0
-        return empty and not ledger.unreported and not self._want(held)
+        return empty and not ledger.has_unreported_totals and not self._want(held)
 
     def _drain_one(self, held: _Held) -> bool:
         ledger = held.ledger
-        if ledger.sequence == 0 or ledger.closed:
+        if ledger.sequence == 0 or ledger.is_closed:
             return True
         with held.lock:
             ledger.give_back(ledger.spendable)
--- a/whinrack/budgets/_covers.py
+++ b/whinrack/budgets/_covers.py
@@ -4,8 +4,8 @@
 
 from returns.result import Failure, Result, Success
 
+from whinrack.budgets._budget_manager import SpareTokenSource
 from whinrack.budgets._grant import Grant, GrantOptions
-from whinrack.budgets._keeper import SpareSource
 from whinrack.budgets._ledger import Cover
 from whinrack.budgets._orders import BookOrders
 from whinrack.budgets._peer_tokens import PeerTokens
@@ -32,7 +32,7 @@
     def __init__(
         self,
         orders: BookOrders,
-        spares: SpareSource,
+        spares: SpareTokenSource,
         options: GrantOptions,
         clock: Callable[[], float],
     ):
@@ -123,7 +123,7 @@
         """Return what to try for more tokens, in order."""
         if grant.is_scarce(tokens, self.clock(), self.options.scarce_seconds):
             return ()
-        supplied = not self.spares.supplies(grant.ledger.budget)
+        supplied = not self.spares.is_supplier(grant.ledger.budget)
         peers = self.peers
         first = (peers.ask_supplier,) if supplied else ()
         if not self.orders.books_answer:
@@ -152,7 +152,7 @@
         return draw or grant.ledger.spendable >= tokens
 
     def _draw(self, grant: Grant, tokens: int) -> None:
-        if grant.ledger.closed:
+        if grant.ledger.is_closed:
             return
         # A request doesn't wait for an order that a silent store holds up; peers may
         # have what it needs. The order's outcome is learnt whenever it comes.
--- a/whinrack/budgets/_reading.py
+++ b/whinrack/budgets/_draw_results.py
@@ -2,9 +2,9 @@
 
 import msgspec
 
-from whinrack.budgets._books import AccountRow, BudgetAccount, DrawOrder, DrawResult
+from whinrack.budgets._account import AccountRow, BudgetAccount, DrawOrder, DrawResult
 
-__all__ = ["books_for", "draw_result", "read_books"]
+__all__ = ["results_for_holder", "draw_result", "read_books"]
 
 _NO_ROW = AccountRow()
 
@@ -40,7 +40,7 @@
     return msgspec.structs.replace(result, closed=True)
 
 
-def books_for(
+def results_for_holder(
     account: BudgetAccount | None, holder: str, orders: list[DrawOrder]
 ) -> dict[str, DrawResult]:
     """Read the state of every budget for a holder, after its orders were applied."""
--- a/whinrack/budgets/_grant.py
+++ b/whinrack/budgets/_grant.py
@@ -5,10 +5,10 @@
 
 import msgspec
 
-from whinrack.budgets._books import DrawResult
+from whinrack.budgets._account import DrawResult
 from whinrack.budgets._demand import DemandEstimate
 from whinrack.budgets._ledger import BudgetLedger
-from whinrack.budgets._schedule import ReleaseGuard, ReleaseSchedule, WallReading
+from whinrack.budgets._schedule import ReleaseGuard, ReleaseSchedule, WallClockReading
 
 __all__ = ["Grant", "GrantOptions"]
 
@@ -182,7 +182,7 @@
         return min(self.ledger.spendable, released)
 
     def schedule(
-        self, options: GrantOptions, need: int, now: float, wall: WallReading
+        self, options: GrantOptions, need: int, now: float, wall: WallClockReading
     ) -> ReleaseSchedule:
         """Return what this run may use from now on: what is needed, and some ahead."""
         rate = max(self.demand.rate(now), self.share_of_demand(now))
@@ -201,7 +201,7 @@
             rate=round(max(0.0, pace), _RATE_DIGITS),
             steady=round(now, _CLOCK_DIGITS),
             wall=round(wall.seconds, _CLOCK_DIGITS),
-            wall_checked=wall.checked,
+            wall_checked=wall.is_checked,
             delay=options.release_delay,
         )
         return self.stated
@@ -230,7 +230,7 @@
 
     def unspent_at_most(self) -> int:
         """Tokens that can be had from anywhere, as far as the books and the peers tell."""
-        covering = self.ledger.covering + sum(self.covering_elsewhere.values())
+        covering = self.ledger.unreported_use + sum(self.covering_elsewhere.values())
         return self.last.left - covering
 
     def excess(self, seconds: float, now: float) -> int:
--- a/whinrack/budgets/_grants.py
+++ b/whinrack/budgets/_grant_manager.py
@@ -13,22 +13,22 @@
 
 from returns.result import Failure, Result, Success
 
-from whinrack.budgets._books import DrawResult
+from whinrack.budgets._account import DrawResult
+from whinrack.budgets._account_writer import AccountBackend
+from whinrack.budgets._budget_manager import SpareTokenSource
 from whinrack.budgets._covers import GrantCovers
-from whinrack.budgets._drawer import BookSource
 from whinrack.budgets._grant import Grant, GrantOptions
-from whinrack.budgets._keeper import SpareSource
 from whinrack.budgets._ledger import BudgetLedger, Cover
 from whinrack.budgets._orders import BookOrders, call_here, unchecked_wall_clock
 from whinrack.budgets._release import ReleasedRow, RunRelease
-from whinrack.budgets._schedule import RestartMoment, WallReading
+from whinrack.budgets._schedule import RestartTime, WallClockReading
 from whinrack.clock import steady
 from whinrack.exceptions import (
     PlatformFailure,
     Refusal,
 )
 
-__all__ = ["GrantKeeper"]
+__all__ = ["GrantManager"]
 
 
 class GivenTotal(NamedTuple):
@@ -39,7 +39,7 @@
     total: int
 
 
-class GrantKeeper:
+class GrantManager:
     """All grants of one run of an instance.
 
     Parameters
@@ -66,11 +66,11 @@
         self,
         holder: str,
         account: str,
-        books: BookSource,
-        spares: SpareSource,
+        books: AccountBackend,
+        spares: SpareTokenSource,
         options: GrantOptions,
         clock: Callable[[], float] = steady,
-        wall_clock: Callable[[], WallReading] = unchecked_wall_clock,
+        wall_clock: Callable[[], WallClockReading] = unchecked_wall_clock,
         make_lock: Callable[[], AbstractContextManager] = nullcontext,
         isolate: Callable[[Callable, float | None], Result | None] = call_here,
     ):
@@ -82,28 +82,28 @@
         self.clock = clock
         self.make_lock = make_lock
         # Set once the peers are known, so that not every instance draws everything ahead.
-        self.draws_ahead = False
+        self.can_draw_ahead = False
         self._grants: dict[str, Grant] = {}
         self._orders = BookOrders(
-            self._grants, books, options, clock, wall_clock, isolate, spares.supplies
+            self._grants, books, options, clock, wall_clock, isolate, spares.is_supplier
         )
         self._covers = GrantCovers(self._orders, spares, options, clock)
 
     @property
-    def store_answers(self) -> bool:
+    def is_store_reachable(self) -> bool:
         """Whether the books can be reached, as far as is known."""
         return self._orders.books_answer
 
     @property
-    def answered_at(self) -> float:
+    def last_answer_at(self) -> float:
         """When the books answered last, by the steady clock."""
         return self._orders.answered_at
 
-    def declare(self, version: int, limits: dict[str, int]) -> None:
+    def set_limits(self, version: int, limits: dict[str, int]) -> None:
         """Take in the limits of a newer version of the configuration."""
         self._orders.declare(version, limits)
 
-    def limited(self, budget: str) -> bool:
+    def has_limit(self, budget: str) -> bool:
         """Whether the configuration states a limit for a budget."""
         return self._orders.limited(budget)
 
@@ -134,7 +134,7 @@
         """
         grant = self._grants.get(budget)
         if grant is None:
-            if not draw or not self.limited(budget):
+            if not draw or not self.has_limit(budget):
                 return 0
             grant = self._grant(budget)
         if grant.ledger.given.get(receiver, 0) <= already_received:
@@ -142,7 +142,7 @@
         usable = max(0, grant.usable(self.clock()))
         return grant.ledger.give(receiver, already_received, need, wish, usable)
 
-    def supply(
+    def give_as_supplier(
         self, budget: str, receiver: str, already_received: int, need: int, wish: int
     ) -> int:
         """Hand tokens to a peer that this run draws a budget ahead for; never blocks.
@@ -152,7 +152,7 @@
         int
             The cumulative total; unchanged where what may be used at once doesn't suffice.
         """
-        if not self.limited(budget):
+        if not self.has_limit(budget):
             return 0
         grant, now = self._grant(budget), self.clock()
         grant.largest = max(grant.largest, need)
@@ -166,7 +166,7 @@
         grant.demand.record(total - before, now)
         return total
 
-    def restock(self, budget: str, need: int) -> None:
+    def draw_for_peer(self, budget: str, need: int) -> None:
         """Draw at once where a peer's need would not be met from here; may block."""
         grant = self._grants.get(budget)
         if grant is not None:
@@ -175,14 +175,14 @@
     def open_ahead(self) -> None:
         """Draw the budgets that this run supplies before anybody asks for them."""
         for budget in self._orders.limited_budgets():
-            if self.spares.supplies(budget):
+            if self.spares.is_supplier(budget):
                 self._grant(budget)
 
     def receive(self, budget: str, giver: str, total: int) -> None:
         """Take in what a peer has given in all, also when nobody waits for it any more."""
         self._grant(budget).ledger.receive(giver, total)
 
-    def given(self) -> Iterator[GivenTotal]:
+    def given_totals(self) -> Iterator[GivenTotal]:
         """Yield what was given to peers, for telling them again before a stop."""
         for budget, grant in self._grants.items():
             for receiver, total in grant.ledger.given.items():
@@ -190,18 +190,18 @@
 
     def renew(self) -> Result[None, PlatformFailure]:
         """Report what was used, draw ahead and state new schedules, all in one write."""
-        if self.draws_ahead:
+        if self.can_draw_ahead:
             self.open_ahead()
         due = [grant for grant in self._grants.values() if self._orders.due(grant)]
         if not due:
             return Success(None)
         return self._orders.send([self._orders.order(grant) for grant in due])
 
-    def restate(self, era: int) -> None:
+    def handle_store_restored(self, era: int) -> None:
         """Learn that the store came back from a copy; the next round states all grants again."""
         self._orders.restate(era)
 
-    def store_regained(self) -> None:
+    def handle_store_reachable(self) -> None:
         """Learn from others' calls that the books can be reached again."""
         self._orders.regained()
 
@@ -217,25 +217,27 @@
         orders = []
         for grant in self._grants.values():
             ledger = grant.ledger
-            if not ledger.sequence or ledger.closed:
+            if not ledger.sequence or ledger.is_closed:
                 continue
             if final:
                 ledger.write_off_open()
             orders.append(self._orders.order(grant, final=final))
             # From here on nothing is used, given or drawn any more.
-            ledger.closed = final
+            ledger.is_closed = final
         return self._orders.send(orders) if orders else Success(None)
 
     def release_earlier_runs(
-        self, restart: RestartMoment
+        self, restart: RestartTime
     ) -> Result[list[ReleasedRow], PlatformFailure]:
         """Give back what earlier runs of this instance held and can't have used."""
-        ended = self.books.earlier_runs(self.account, self.holder)
+        ended = self.books.find_earlier_runs(self.account, self.holder)
         if isinstance(ended, Failure):
             return ended
         if not ended.unwrap():
             return Success([])
-        return self.books.release(self.account, RunRelease(self.holder, restart, ended.unwrap()))
+        return self.books.release_runs(
+            self.account, RunRelease(self.holder, restart, ended.unwrap())
+        )
 
     def summary(self) -> str:
         """Return what is known of every budget, for the log."""
@@ -254,16 +256,16 @@
         return {name: grant.ledger.spendable for name, grant in self._grants.items()}
 
     @property
-    def holds_tokens(self) -> bool:
+    def has_spendable_tokens(self) -> bool:
         """Whether a peer may have tokens from here."""
         return any(grant.ledger.spendable > 0 for grant in self._grants.values())
 
-    def covering(self, budget: str) -> int:
+    def unreported_use(self, budget: str) -> int:
         """Return the tokens of a budget that requests use up here, unknown to the books."""
         grant = self._grants.get(budget)
-        return grant.ledger.covering if grant is not None else 0
+        return grant.ledger.unreported_use if grant is not None else 0
 
-    def last_known(self, budget: str) -> DrawResult | None:
+    def last_result(self, budget: str) -> DrawResult | None:
         """Return the books' state when they answered last, for logs."""
         grant = self._grants.get(budget)
         return grant.last if grant is not None else None
--- a/whinrack/budgets/_ledger.py
+++ b/whinrack/budgets/_ledger.py
@@ -2,7 +2,7 @@
 
 from returns.result import Failure, Result, Success
 
-from whinrack.budgets._books import DrawOrder, DrawResult
+from whinrack.budgets._account import DrawOrder, DrawResult
 from whinrack.exceptions import BudgetContended, Refusal
 
 __all__ = ["BudgetLedger", "Cover"]
@@ -22,7 +22,7 @@
     def __init__(self, ledger: "BudgetLedger", tokens: int):
         self.ledger = ledger
         self.tokens = tokens
-        self.settled = False
+        self.is_settled = False
 
     def settle(self, billed: int, unproven: int = 0) -> bool:
         """Give back what wasn't used; only the first call counts.
@@ -39,9 +39,9 @@
         bool
             False if the cover was settled before.
         """
-        if self.settled:
+        if self.is_settled:
             return False
-        self.settled = True
+        self.is_settled = True
         self.ledger.close(self.tokens, billed, unproven)
         return True
 
@@ -69,7 +69,7 @@
         # Learnt at run time.
         self.open_cover = 0
         self.sequence = 0
-        self.closed = False
+        self.is_closed = False
         self._open_written_off = False
         self._reported: tuple | None = None
         # Of the books that an order was applied to last, and what was taken by them.
@@ -80,7 +80,7 @@
     @property
     def spendable(self) -> int:
         """Tokens that a new request may be covered with."""
-        if self.closed:
+        if self.is_closed:
             return 0
         inflow = self.drawn + sum(self.received.values())
         outflow = sum(self.given.values()) + self.returned + self.billed + self.unproven
@@ -116,7 +116,7 @@
         return gone - sum(self.received.values())
 
     @property
-    def covering(self) -> int:
+    def unreported_use(self) -> int:
         """Tokens that the books count as held here, but that requests use up."""
         billed, unproven, *_ = self._reported or (0, 0)
         return self.open_cover + self.billed - billed + self.unproven - unproven
@@ -152,7 +152,7 @@
             edition=self.edition,
         )
 
-    def learn(self, order: DrawOrder, result: DrawResult) -> None:
+    def apply_result(self, order: DrawOrder, result: DrawResult) -> None:
         """Take in the books' state; an older state than the known one changes nothing."""
         self.drawn = max(self.drawn, result.drawn)
         if result.sequence >= order.sequence:
@@ -160,7 +160,7 @@
             self.era = result.era
             self.see_books(result)
         if result.closed:
-            self.closed = True
+            self.is_closed = True
 
     def see_books(self, result: DrawResult) -> None:
         """Remember what is taken by books of the era in which this holder's row was stated."""
@@ -168,7 +168,7 @@
             self.edition, self.taken = result.edition, result.taken
 
     @property
-    def unreported(self) -> bool:
+    def has_unreported_totals(self) -> bool:
         """Whether the books don't know the latest numbers yet."""
         now = (self.billed, self.unproven, self.returned, dict(self.received))
         return now != (self._reported or (0, 0, 0, {}))
--- a/whinrack/budgets/_orders.py
+++ b/whinrack/budgets/_orders.py
@@ -5,10 +5,10 @@
 
 from returns.result import Failure, Result, Success
 
-from whinrack.budgets._books import DrawOrder, DrawResult
-from whinrack.budgets._drawer import BookSource
+from whinrack.budgets._account import DrawOrder, DrawResult
+from whinrack.budgets._account_writer import AccountBackend
 from whinrack.budgets._grant import Grant, GrantOptions
-from whinrack.budgets._schedule import ReleaseSchedule, WallReading
+from whinrack.budgets._schedule import ReleaseSchedule, WallClockReading
 from whinrack.exceptions import PlatformFailure, PlatformUnavailable
 
 __all__ = ["BookOrders", "call_here", "unchecked_wall_clock"]
@@ -19,9 +19,9 @@
 _RESTATING_SECONDS = 5.0
 
 
-def unchecked_wall_clock() -> WallReading:
+def unchecked_wall_clock() -> WallClockReading:
     """Read the time of day of a machine without peers that could check it."""
-    return WallReading(time.time())
+    return WallClockReading(time.time())
 
 
 def call_here(function: Callable, seconds: float | None) -> Result:
@@ -54,10 +54,10 @@
     def __init__(
         self,
         grants: dict[str, Grant],
-        books: BookSource,
+        books: AccountBackend,
         options: GrantOptions,
         clock: Callable[[], float],
-        wall_clock: Callable[[], WallReading],
+        wall_clock: Callable[[], WallClockReading],
         isolate: Callable[[Callable, float | None], Result | None],
         supplies: Callable[[str], bool],
     ):
@@ -135,13 +135,13 @@
 
     def due(self, grant: Grant) -> bool:
         """Whether the books should hear of a grant now."""
-        if grant.ledger.closed:
+        if grant.ledger.is_closed:
             return False
         if self.stopping and grant.ledger.spendable > 0:
             return True
         if not grant.ledger.sequence or self._is_lost(grant):
             return True
-        if grant.ledger.unreported and self._report_is_due(grant):
+        if grant.ledger.has_unreported_totals and self._report_is_due(grant):
             return True
         if grant.last is None or self._limit_version > grant.last.limit_version:
             return True
@@ -252,7 +252,7 @@
     def _send_now(self, orders: list[DrawOrder]) -> Result[None, PlatformFailure]:
         asked = self.clock()
         self._asked_at = asked if self._asked_at is None else self._asked_at
-        result = self.books.draw_books(orders)
+        result = self.books.draw_for_holder(orders)
         self._asked_at = None
         self._lost = isinstance(result, Failure)
         if self._lost:
@@ -269,6 +269,6 @@
         for order in orders:
             answer = books.get(order.budget, DrawResult())
             grant = self.grants[order.budget]
-            grant.ledger.learn(order, answer)
+            grant.ledger.apply_result(order, answer)
             if answer.sequence >= order.sequence:
                 grant.guard.applied(answer.sequence)
--- a/whinrack/budgets/_peer_tokens.py
+++ b/whinrack/budgets/_peer_tokens.py
@@ -2,8 +2,8 @@
 
 from collections.abc import Callable
 
+from whinrack.budgets._budget_manager import SpareTokenSource
 from whinrack.budgets._grant import Grant, GrantOptions
-from whinrack.budgets._keeper import SpareSource
 
 __all__ = ["PeerTokens"]
 
@@ -19,7 +19,7 @@
         Reads the steady clock, seconds.
     """
 
-    def __init__(self, spares: SpareSource, options: GrantOptions, clock: Callable[[], float]):
+    def __init__(self, spares: SpareTokenSource, options: GrantOptions, clock: Callable[[], float]):
         self.spares = spares
         self.options = options
         self.clock = clock
@@ -29,9 +29,9 @@
         wish = self._demand_of(grant, self.options.supply_seconds) + grant.waiting
         budget, received = grant.ledger.budget, dict(grant.ledger.received)
         need = self._missing(grant, tokens)
-        for spare in self.spares.ask_supplier(budget, need, wish, received):
+        for spare in self.spares.request_from_supplier(budget, need, wish, received):
             grant.ledger.receive(spare.giver, spare.total)
-            grant.covering_elsewhere[spare.giver] = spare.covering
+            grant.covering_elsewhere[spare.giver] = spare.unreported_use
 
     def gather(self, grant: Grant, tokens: int) -> None:
         """Ask all peers for what they hold and may use."""
@@ -49,7 +49,9 @@
         ahead = self._demand_of(grant, self.options.loan_seconds)
         wish = max(ahead, grant.largest) + grant.waiting
         budget, received = grant.ledger.budget, dict(grant.ledger.received)
-        for spare in self.spares.borrow(budget, self._missing(grant, tokens), wish, received):
+        for spare in self.spares.request_peer_draw(
+            budget, self._missing(grant, tokens), wish, received
+        ):
             grant.ledger.receive(spare.giver, spare.total)
 
     def _gather_round(self, grant: Grant, need: int, everything: bool) -> bool:
@@ -60,13 +62,13 @@
         bool
             Whether all replied.
         """
-        asked = self.spares.peers_asked()
+        asked = self.spares.peer_count()
         part = need if everything else -(-2 * need // max(1, asked))
         budget, received = grant.ledger.budget, dict(grant.ledger.received)
-        replies = list(self.spares.gather(budget, min(need, part), 0, received))
+        replies = list(self.spares.request_from_peers(budget, min(need, part), 0, received))
         for spare in replies:
             grant.ledger.receive(spare.giver, spare.total)
-            grant.covering_elsewhere[spare.giver] = spare.covering
+            grant.covering_elsewhere[spare.giver] = spare.unreported_use
         return len(replies) >= asked
 
     def _missing(self, grant: Grant, tokens: int) -> int:
--- a/whinrack/budgets/_release.py
+++ b/whinrack/budgets/_release.py
@@ -3,13 +3,13 @@
 import msgspec
 
 from whinrack.base import instance_of
-from whinrack.budgets._books import AccountRow, BudgetAccount, BudgetEntry
-from whinrack.budgets._schedule import RestartMoment
+from whinrack.budgets._account import AccountRow, BudgetAccount, BudgetEntry
+from whinrack.budgets._schedule import RestartTime
 
 __all__ = [
     "ReleasedRow",
     "RunRelease",
-    "earlier_runs",
+    "find_earlier_runs",
     "release_earlier_runs",
     "release_holder",
 ]
@@ -49,7 +49,7 @@
     """
 
     holder: str
-    restart: RestartMoment
+    restart: RestartTime
     ended: list[str]
 
 
@@ -77,7 +77,7 @@
     return account
 
 
-def earlier_runs(account: BudgetAccount | None, holder: str) -> list[str]:
+def find_earlier_runs(account: BudgetAccount | None, holder: str) -> list[str]:
     """Return the runs of the holder's instance, but itself, that have open rows.
 
     For the holder itself to ask: as long as it runs, all others have ended.
@@ -121,7 +121,7 @@
     return rows
 
 
-def _release_row(budget: str, entry: BudgetEntry, name: str, restart: RestartMoment) -> ReleasedRow:
+def _release_row(budget: str, entry: BudgetEntry, name: str, restart: RestartTime) -> ReleasedRow:
     row = entry.rows[name]
     accounted = row.billed + row.unproven + row.moved_out
     used, seconds = max(0, row.outstanding), 0.0
--- a/whinrack/budgets/_schedule.py
+++ b/whinrack/budgets/_schedule.py
@@ -11,14 +11,14 @@
 
 import msgspec
 
-__all__ = ["ReleaseGuard", "ReleaseSchedule", "RestartMoment", "WallReading"]
+__all__ = ["ReleaseGuard", "ReleaseSchedule", "RestartTime", "WallClockReading"]
 
 _SAME_BOOT_SECONDS = 0.25
 # How far two readings of checked clocks may be wrong together, seconds.
 _CHECKED_MARGIN = 0.3
 
 
-class WallReading(msgspec.Struct, frozen=True):
+class WallClockReading(msgspec.Struct, frozen=True):
     """A machine's time of day.
 
     Attributes
@@ -30,7 +30,7 @@
     """
 
     seconds: float
-    checked: bool = False
+    is_checked: bool = False
 
 
 class ReleaseSchedule(msgspec.Struct, frozen=True, array_like=True):
@@ -67,7 +67,7 @@
         return self.base + math.ceil(self.rate * max(0.0, seconds - self.delay))
 
 
-class RestartMoment(msgspec.Struct, frozen=True):
+class RestartTime(msgspec.Struct, frozen=True):
     """When a run of an instance started, by the clocks of its machine.
 
     Attributes
--- a/whinrack/budgets/_restoring.py
+++ b/whinrack/budgets/_store_restore.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from whinrack.budgets._books import BudgetAccount, BudgetEntry, DrawOrder
+from whinrack.budgets._account import BudgetAccount, BudgetEntry, DrawOrder
 
 __all__ = [
     "are_of_earlier_era",
--- a/whinrack/budgets/tests/test_books.py
+++ b/whinrack/budgets/tests/test_budget_manager.py
@@ -11,13 +11,13 @@
 from standins.memory_store import MemoryStore
 from whinrack.budgets import (
     ACCOUNT_KIND,
-    AccountDrawer,
+    AccountWriter,
     BudgetAccount,
-    BudgetKeeper,
+    BudgetManager,
     DrawOrder,
-    SpareSource,
-    SpareTotal,
+    SpareTokenSource,
     TokenSource,
+    TransferTotal,
     apply_draws,
     apply_topups,
     release_holder,
@@ -37,7 +37,7 @@
         self.editor.apply("a", lambda account: apply_topups(account, "b", {"1": limit}))
         self.limit = limit
         self.horizon = horizon
-        self.keepers = {}
+        self.managers = {}
         self.cut = set()
         self.lose_spare_replies = 0
         self.served = 0
@@ -45,8 +45,8 @@
             self.add(holder)
 
     def add(self, holder):
-        drawer = AccountDrawer(self.store, nullcontext, sleep=self.sleep, seed=1)
-        self.keepers[holder] = BudgetKeeper(
+        drawer = AccountWriter(self.store, nullcontext, sleep=self.sleep, seed=1)
+        self.managers[holder] = BudgetManager(
             holder,
             _Source(self, holder, drawer),
             _Spares(self, holder),
@@ -61,7 +61,7 @@
         self.now += seconds
 
     def cover(self, holder, tokens, weighting=Weighting.OVERSPEND):
-        return self.keepers[holder].cover("a", "b", tokens, weighting)
+        return self.managers[holder].cover("a", "b", tokens, weighting)
 
     def entry(self):
         down, self.store.down = self.store.down, False
@@ -70,7 +70,7 @@
         return account.budgets["b"]
 
     def ledgers(self):
-        return [ledger for keeper in self.keepers.values() for ledger in keeper.ledgers()]
+        return [ledger for keeper in self.managers.values() for ledger in keeper.ledgers()]
 
 
 class _Source(TokenSource):
@@ -83,19 +83,19 @@
         return self.drawer.draw(order)
 
 
-class _Spares(SpareSource):
+class _Spares(SpareTokenSource):
     def __init__(self, fleet, holder):
         self.fleet, self.holder = fleet, holder
 
-    def gather(self, budget, need, wish, received):
-        for name, keeper in self.fleet.keepers.items():
+    def request_from_peers(self, budget, need, wish, received):
+        for name, keeper in self.fleet.managers.items():
             if name == self.holder or {name, self.holder} & self.fleet.cut:
                 continue
             total = keeper.give(budget, self.holder, received.get(name, 0), need, wish)
             if self.fleet.lose_spare_replies > 0:
                 self.fleet.lose_spare_replies -= 1
                 continue
-            yield SpareTotal(name, total)
+            yield TransferTotal(name, total)
 
 
 def settle(fleet, cover, used):
@@ -136,7 +136,7 @@
     @rule(who=st.sampled_from(HOLDERS), seconds=st.floats(0.0, 20.0))
     def report(self, who, seconds):
         self.fleet.now += seconds
-        self.fleet.keepers[self._alive(who)].report()
+        self.fleet.managers[self._alive(who)].report()
 
     @rule(who=st.sampled_from(HOLDERS))
     def kill_and_restart(self, who):
@@ -146,7 +146,7 @@
             if holder == old:
                 self.fleet.served += cover.tokens
                 self.open.remove((holder, cover))
-        del self.fleet.keepers[old]
+        del self.fleet.managers[old]
         self.killed += 1
         self.fleet.add(f"{who.partition('.')[0]}.{self.killed + 1}")
 
@@ -157,8 +157,8 @@
             if holder == old:
                 settle(self.fleet, cover, cover.tokens // 2)
                 self.open.remove((holder, cover))
-        if self.fleet.keepers[old].drain():
-            del self.fleet.keepers[old]
+        if self.fleet.managers[old].drain():
+            del self.fleet.managers[old]
             self.killed += 1
             self.fleet.add(f"{who.partition('.')[0]}.{self.killed + 1}")
 
@@ -190,7 +190,7 @@
         if self.fleet.store.down:
             return
         for holder in list(self.fleet.entry().rows):
-            if holder not in self.fleet.keepers:
+            if holder not in self.fleet.managers:
                 self.fleet.editor.apply(
                     "a", lambda account, who=holder: release_holder(account, "b", who, None)
                 )
@@ -210,7 +210,7 @@
         assert entry.limit == entry.billed + entry.unproven + entry.outstanding + entry.free
 
     def _alive(self, who):
-        return next(name for name in self.fleet.keepers if name[0] == who[0])
+        return next(name for name in self.fleet.managers if name[0] == who[0])
 
 
 BooksMachine.TestCase.settings = settings(
@@ -223,14 +223,14 @@
     fleet = Fleet(("x.1", "y.1"), 1000)
     for holder, used in (("x.1", 30), ("y.1", 45), ("x.1", 7)):
         settle(fleet, fleet.cover(holder, 100).unwrap(), used)
-    assert all(keeper.drain() for keeper in fleet.keepers.values())
+    assert all(keeper.drain() for keeper in fleet.managers.values())
     entry = fleet.entry()
     assert (entry.billed, entry.free, entry.outstanding, entry.rows) == (82, 918, 0, {})
 
 
 def test_tail_is_gathered_from_peers_before_anyone_is_refused():
     fleet = Fleet(("x.1", "y.1", "z.1"), 300)
-    covers = [fleet.cover(holder, 100).unwrap() for holder in fleet.keepers]
+    covers = [fleet.cover(holder, 100).unwrap() for holder in fleet.managers]
     for cover in covers:
         settle(fleet, cover, 10)
     assert isinstance(fleet.cover("x.1", 250), Success)
@@ -241,7 +241,7 @@
     fleet = Fleet(("x.1", "y.1"), 300, horizon=600.0)
     settle(fleet, fleet.cover("x.1", 150).unwrap(), 10)
     settle(fleet, fleet.cover("y.1", 150).unwrap(), 10)
-    fleet.keepers["x.1"].report()
+    fleet.managers["x.1"].report()
     assert isinstance(fleet.cover("x.1", 200), Success)
 
 
@@ -259,7 +259,7 @@
     for _ in range(20):
         settle(fleet, fleet.cover("x.1", 100).unwrap(), 80)
         fleet.now += 1.0
-        fleet.keepers["x.1"].report()
+        fleet.managers["x.1"].report()
     fleet.store.down = True
     served = 0
     for _ in range(30):
@@ -283,7 +283,7 @@
     fleet = Fleet(("x.1",), 1000)
     ledger_order = DrawOrder(account="a", budget="b", holder="x.1", sequence=2, need=100)
     settle(fleet, fleet.cover("x.1", 100).unwrap(), 60)
-    assert fleet.keepers["x.1"].drain()
+    assert fleet.managers["x.1"].drain()
     fleet.editor.apply("a", lambda account: apply_draws(account, [ledger_order]))
     assert fleet.entry().free == 940
 
@@ -311,7 +311,7 @@
     fleet = Fleet(("x.1",), 1000)
     settle(fleet, fleet.cover("x.1", 100).unwrap(), 60)
     fleet.editor.apply("a", lambda account: release_holder(account, "b", "x.1", None))
-    fleet.keepers["x.1"].report(everything=True)
+    fleet.managers["x.1"].report(include_idle=True)
     assert isinstance(fleet.cover("x.1", 10), Failure)
 
 
@@ -326,11 +326,11 @@
 
 def test_holders_report_soon_after_a_peer_ran_out():
     fleet = Fleet(("x.1", "y.1"), 1000, horizon=0.0)
-    for keeper in fleet.keepers.values():
+    for keeper in fleet.managers.values():
         keeper.report_after = 1000.0
     settle(fleet, fleet.cover("y.1", 900).unwrap(), 900)
     assert isinstance(fleet.cover("x.1", 500).failure(), BudgetContended)
-    fleet.keepers["y.1"].report()
+    fleet.managers["y.1"].report()
     fleet.now += 60.0
     assert isinstance(fleet.cover("x.1", 500).failure(), BudgetExhausted)
 
@@ -345,10 +345,10 @@
 def test_one_gathering_lasts_for_some_requests():
     fleet = Fleet(("x.1", "y.1"), 1000, horizon=600.0)
     settle(fleet, fleet.cover("x.1", 900).unwrap(), 10)
-    fleet.keepers["x.1"].stopping = True
+    fleet.managers["x.1"].stopping = True
     asked = []
-    give = fleet.keepers["x.1"].give
-    fleet.keepers["x.1"].give = lambda *numbers: asked.append(1) or give(*numbers)
+    give = fleet.managers["x.1"].give
+    fleet.managers["x.1"].give = lambda *numbers: asked.append(1) or give(*numbers)
     for _ in range(12):
         settle(fleet, fleet.cover("y.1", 30).unwrap(), 30)
     assert len(asked) <= 4
--- a/whinrack/budgets/tests/test_grants.py
+++ b/whinrack/budgets/tests/test_grants.py
@@ -12,14 +12,14 @@
 from standins.memory_store import MemoryStore
 from whinrack.budgets import (
     ACCOUNT_KIND,
-    AccountDrawer,
+    AccountWriter,
     BudgetAccount,
-    GrantKeeper,
+    GrantManager,
     GrantOptions,
-    RestartMoment,
-    SpareSource,
-    SpareTotal,
-    WallReading,
+    RestartTime,
+    SpareTokenSource,
+    TransferTotal,
+    WallClockReading,
 )
 from whinrack.exceptions import BudgetContended, BudgetExhausted, PlatformUnavailable
 from whinrack.store import ObjectEditor, ObjectStore
@@ -75,16 +75,16 @@
     def wall_clock(self):
         others = [machine for machine in self.fleet.machines if machine is not self]
         agreeing = sum(abs(m.wall_offset - self.wall_offset) < 0.25 for m in others)
-        return WallReading(self.wall(), agreeing >= 2 and 2 * agreeing > len(others))
+        return WallClockReading(self.wall(), agreeing >= 2 and 2 * agreeing > len(others))
 
     def start(self):
         self.runs += 1
-        self.restart = RestartMoment(self.steady(), self.wall(), WALL_MARGIN)
+        self.restart = RestartTime(self.steady(), self.wall(), WALL_MARGIN)
         self.released = False
         self.covers = []
         store = LinkedStore(self.fleet.store, self)
-        drawer = AccountDrawer(store, _Lock, clock=self.steady, sleep=lambda seconds: None, seed=1)
-        self.keeper = GrantKeeper(
+        drawer = AccountWriter(store, _Lock, clock=self.steady, sleep=lambda seconds: None, seed=1)
+        self.keeper = GrantManager(
             f"{self.name}.{self.runs}",
             "a",
             drawer,
@@ -94,13 +94,13 @@
             wall_clock=self.wall_clock,
             make_lock=_Lock,
         )
-        self.keeper.declare(1, {BUDGET: self.fleet.limit})
+        self.keeper.set_limits(1, {BUDGET: self.fleet.limit})
 
     def release(self):
         if not self.released:
             now = self.wall_clock()
             jumped = (now.seconds - self.restart.wall) - (self.steady() - self.restart.steady)
-            checked = now.checked and abs(jumped) < 0.25
+            checked = now.is_checked and abs(jumped) < 0.25
             restart = msgspec.structs.replace(self.restart, wall_checked=checked)
             self.released = isinstance(self.keeper.release_earlier_runs(restart), Success)
 
@@ -122,7 +122,7 @@
         cover.settle(billed)
 
 
-class Peers(SpareSource):
+class Peers(SpareTokenSource):
     """The other machines, reached unless the fleet is told to lose replies."""
 
     def __init__(self, fleet, machine):
@@ -132,30 +132,30 @@
     def others(self):
         return [other for other in self.fleet.machines if other is not self.machine]
 
-    def peers_asked(self):
+    def peer_count(self):
         return len(self.others())
 
-    def gather(self, budget, need, wish, received):
+    def request_from_peers(self, budget, need, wish, received):
         return self._ask(self.others(), need, wish, received, draw=False)
 
-    def borrow(self, budget, need, wish, received):
-        reach = [other for other in self.others() if other.keeper.store_answers]
+    def request_peer_draw(self, budget, need, wish, received):
+        reach = [other for other in self.others() if other.keeper.is_store_reachable]
         return self._ask(reach[:1], need, wish, received, draw=True)
 
-    def supplies(self, budget):
+    def is_supplier(self, budget):
         return self.machine.supplier in (None, self.machine)
 
-    def ask_supplier(self, budget, need, wish, received):
+    def request_from_supplier(self, budget, need, wish, received):
         supplier = self.machine.supplier
         giver = supplier.keeper.holder
-        total = supplier.keeper.supply(
+        total = supplier.keeper.give_as_supplier(
             BUDGET, self.machine.keeper.holder, received.get(giver, 0), need, wish
         )
-        supplier.keeper.restock(BUDGET, need)
+        supplier.keeper.draw_for_peer(BUDGET, need)
         if self.fleet.lose_peer_replies > 0:
             self.fleet.lose_peer_replies -= 1
         else:
-            yield SpareTotal(giver, total)
+            yield TransferTotal(giver, total)
 
     def _ask(self, others, need, wish, received, draw):
         for other in others:
@@ -166,7 +166,7 @@
             if self.fleet.lose_peer_replies > 0:
                 self.fleet.lose_peer_replies -= 1
             else:
-                yield SpareTotal(giver, total, other.keeper.covering(BUDGET))
+                yield TransferTotal(giver, total, other.keeper.unreported_use(BUDGET))
 
 
 class _Lock:
@@ -316,7 +316,7 @@
         self.fleet.limit += more
         version = self.fleet.limit
         for machine in self.fleet.machines:
-            machine.keeper.declare(version, {BUDGET: self.fleet.limit})
+            machine.keeper.set_limits(version, {BUDGET: self.fleet.limit})
 
     @invariant()
     def never_beyond_the_limit(self):
@@ -556,7 +556,7 @@
 
 def test_a_raised_limit_that_the_books_do_not_know_yet_is_no_exhausted_budget():
     fleet = nearly_used_fleet_cut_off()
-    fleet.machines[1].keeper.declare(2, {BUDGET: 5000})
+    fleet.machines[1].keeper.set_limits(2, {BUDGET: 5000})
     assert isinstance(fleet.machines[1].request(200).failure(), BudgetContended)
 
 
@@ -584,7 +584,7 @@
     giver.settle(0.0)
     fleet.lose_peer_replies = 10
     asker.request(700)
-    (given,) = [total for total in giver.keeper.given() if total.receiver == "m1.1"]
+    (given,) = [total for total in giver.keeper.given_totals() if total.receiver == "m1.1"]
     asker.keeper.receive(BUDGET, giver.keeper.holder, given.total)
     assert isinstance(asker.request(700), Success)
 
@@ -592,7 +592,7 @@
 def test_a_lowered_limit_is_given_back():
     fleet = busy_fleet()
     for machine in fleet.machines:
-        machine.keeper.declare(2, {BUDGET: fleet.used + 100})
+        machine.keeper.set_limits(2, {BUDGET: fleet.used + 100})
     for _ in range(3):
         for machine in fleet.machines:
             machine.keeper.renew()
@@ -728,8 +728,8 @@
     first.keeper.renew()
     before = first.keeper.spendable()[BUDGET]
     need = before + 1000
-    assert first.keeper.supply(BUDGET, second.keeper.holder, 10**9, need, 0) <= 10**9
-    first.keeper.restock(BUDGET, need)
+    assert first.keeper.give_as_supplier(BUDGET, second.keeper.holder, 10**9, need, 0) <= 10**9
+    first.keeper.draw_for_peer(BUDGET, need)
     assert first.keeper.spendable()[BUDGET] >= need
 
 
@@ -737,7 +737,7 @@
     fleet = Fleet(3, 100_000)
     for machine in fleet.machines:
         machine.supplier = fleet.machines[0]
-        machine.keeper.draws_ahead = True
+        machine.keeper.can_draw_ahead = True
         machine.keeper.renew()
     assert fleet.machines[0].keeper.spendable()[BUDGET] == 4000
     assert isinstance(fleet.machines[1].request(1500), Success)
@@ -746,7 +746,7 @@
 
 def test_without_a_reply_of_the_supplier_a_machine_draws_by_itself():
     fleet = supplied_fleet()
-    fleet.machines[1].keeper.spares.ask_supplier = lambda *question: []
+    fleet.machines[1].keeper.spares.request_from_supplier = lambda *question: []
     assert isinstance(fleet.machines[1].request(500), Success)
 
 
@@ -791,8 +791,8 @@
     fleet = busy_fleet(limit=20_000)
     asked = []
     peers = fleet.machines[0].keeper.spares
-    peers.gather = lambda *question: asked.append(question) or []
-    peers.peers_asked = lambda: 0
+    peers.request_from_peers = lambda *question: asked.append(question) or []
+    peers.peer_count = lambda: 0
     for _ in range(3):
         assert isinstance(fleet.machines[0].request(50_000), Failure)
     assert len(asked) == 2
--- a/whinrack/budgets/tests/test_loss_of_power.py
+++ b/whinrack/budgets/tests/test_loss_of_power.py
@@ -35,7 +35,7 @@
         self.asked = self.served = 0
         for machine in self.fleet.machines:
             machine.supplier = self.supplier
-            machine.keeper.draws_ahead = True
+            machine.keeper.can_draw_ahead = True
 
     def run(self):
         """Play until the power is lost; returns the part that was served in the outage."""
--- a/whinrack/budgets/tests/test_orders.py
+++ b/whinrack/budgets/tests/test_orders.py
@@ -14,7 +14,7 @@
         self.now = 0.0
         self.answer = []
 
-    def draw_books(self, orders):
+    def draw_for_holder(self, orders):
         self.now += 1.0
         self.answer.append(self.orders.books_answer)
         self.orders.regained()
--- a/whinrack/budgets/tests/test_restored_books.py
+++ b/whinrack/budgets/tests/test_restored_books.py
@@ -8,7 +8,7 @@
 from returns.result import Success
 
 from whinrack.budgets import ACCOUNT_KIND, AccountRow, BudgetAccount, BudgetEntry
-from whinrack.budgets._restoring import end_hold, restored
+from whinrack.budgets._store_restore import end_hold, restored
 from whinrack.budgets.tests.test_grants import BUDGET, busy_fleet, use_all, work
 
 _BOUND_SECONDS = 8
@@ -18,7 +18,7 @@
     """Restore the store, and let those that reach it state what they hold."""
     fleet.store.restore(copy)
     for machine in fleet.machines:
-        machine.keeper.restate(fleet.store.era.current)
+        machine.keeper.handle_store_restored(fleet.store.era.current)
         machine.keeper.renew()
 
 
@@ -209,7 +209,7 @@
     fleet.store.put(ACCOUNT_KIND, "a", late.value, present.version)
     use_all(fleet)
     assert 0.9 * fleet.limit <= fleet.used <= fleet.limit
-    assert not any(m.keeper._grant(BUDGET).ledger.closed for m in fleet.machines)
+    assert not any(m.keeper._grant(BUDGET).ledger.is_closed for m in fleet.machines)
 
 
 def test_books_that_an_earlier_build_wrote_could_not_be_drawn_from():
--- a/whinrack/budgets/tests/test_schedule.py
+++ b/whinrack/budgets/tests/test_schedule.py
@@ -7,10 +7,10 @@
     ReleasedRow,
     ReleaseGuard,
     ReleaseSchedule,
-    RestartMoment,
+    RestartTime,
     RunRelease,
     apply_draws,
-    earlier_runs,
+    find_earlier_runs,
     release_earlier_runs,
 )
 
@@ -21,8 +21,10 @@
 
 def released(account, holder):
     """Release what earlier runs of the holder's instance held."""
-    restart = RestartMoment(102.0, 1002.0, 3.5)
-    return release_earlier_runs(account, RunRelease(holder, restart, earlier_runs(account, holder)))
+    restart = RestartTime(102.0, 1002.0, 3.5)
+    return release_earlier_runs(
+        account, RunRelease(holder, restart, find_earlier_runs(account, holder))
+    )
 
 
 def test_nothing_may_be_used_before_a_schedule_is_stated():
@@ -53,18 +55,18 @@
 
 
 def test_after_a_kill_the_steady_clock_tells_the_time():
-    restart = RestartMoment(steady=102.0, wall=1002.0, wall_margin=3.5)
+    restart = RestartTime(steady=102.0, wall=1002.0, wall_margin=3.5)
     assert restart.most_used(schedule(10, rate=5.0)) == 20
 
 
 def test_after_a_loss_of_power_the_time_of_day_tells_it_with_a_margin():
     for steady in (0.0, 5.0, 7e6):
-        restart = RestartMoment(steady=steady, wall=1002.0, wall_margin=3.5)
+        restart = RestartTime(steady=steady, wall=1002.0, wall_margin=3.5)
         assert restart.most_used(schedule(10, rate=2.0)) == 10 + 2 * 5.5
 
 
 def test_a_time_of_day_that_jumped_back_never_makes_the_bound_smaller_than_the_margin():
-    restart = RestartMoment(steady=3.0, wall=997.0, wall_margin=3.5)
+    restart = RestartTime(steady=3.0, wall=997.0, wall_margin=3.5)
     assert restart.most_used(schedule(10, rate=2.0)) == 17
 
 
@@ -101,7 +103,7 @@
 def test_a_release_that_is_carried_out_late_does_not_touch_a_run_that_started_since():
     """A writer may be slow; by then a third run of the instance may spend its own grant."""
     account = books(schedule=schedule(0))
-    asked = RunRelease("m.2", RestartMoment(102.0, 1002.0, 3.5), earlier_runs(account, "m.2"))
+    asked = RunRelease("m.2", RestartTime(102.0, 1002.0, 3.5), find_earlier_runs(account, "m.2"))
     newest = DrawOrder(account="a", budget="b", holder="m.3", sequence=1, need=200, opening=True)
     apply_draws(account, [newest])
     release_earlier_runs(account, asked)
@@ -154,14 +156,14 @@
     guard = ReleaseGuard()
     guard.stated(1, delayed)
     assert [guard.most_used(at) for at in (100.0, 101.0, 102.0)] == [10, 10, 15]
-    restart = RestartMoment(steady=102.0, wall=1002.0, wall_margin=3.5)
+    restart = RestartTime(steady=102.0, wall=1002.0, wall_margin=3.5)
     assert restart.most_used(delayed) == 15
 
 
 def test_with_checked_clocks_the_margin_after_a_loss_of_power_is_small():
     stated = ReleaseSchedule(base=10, rate=2.0, steady=100.0, wall=1000.0, wall_checked=True)
-    checked = RestartMoment(steady=3.0, wall=1002.0, wall_margin=3.5, wall_checked=True)
+    checked = RestartTime(steady=3.0, wall=1002.0, wall_margin=3.5, wall_checked=True)
     assert checked.most_used(stated) == 10 + 2 * 2.5
-    unchecked = RestartMoment(steady=3.0, wall=1002.0, wall_margin=3.5)
+    unchecked = RestartTime(steady=3.0, wall=1002.0, wall_margin=3.5)
     assert unchecked.most_used(stated) == 10 + 2 * 5.5
     assert checked.most_used(schedule(10, rate=2.0)) == 10 + 2 * 5.5
--- a/whinrack/budgets/tests/test_waiting.py
+++ b/whinrack/budgets/tests/test_waiting.py
@@ -7,38 +7,38 @@
 
 from standins.memory_store import MemoryStore
 from whinrack.budgets import (
-    AccountDrawer,
-    BookSource,
+    AccountBackend,
+    AccountWriter,
     DrawOrder,
-    GrantKeeper,
+    GrantManager,
     GrantOptions,
     OrderBatch,
-    SpareSource,
+    SpareTokenSource,
 )
 from whinrack.clock import steady
 
 BUDGET = "b"
 
 
-class SlowBooks(BookSource):
+class SlowBooks(AccountBackend):
     """Books that take a while and count the calls."""
 
     def __init__(self):
-        self.drawer = AccountDrawer(MemoryStore(), Semaphore, sleep=eventlet.sleep, seed=1)
+        self.drawer = AccountWriter(MemoryStore(), Semaphore, sleep=eventlet.sleep, seed=1)
         self.calls = 0
         self.seconds = 0.02
 
-    def draw_books(self, orders):
+    def draw_for_holder(self, orders):
         self.calls += 1
         eventlet.sleep(self.seconds)
-        return self.drawer.draw_books(orders)
+        return self.drawer.draw_for_holder(orders)
 
 
-class NoPeers(SpareSource):
-    def gather(self, budget, need, wish, received):
+class NoPeers(SpareTokenSource):
+    def request_from_peers(self, budget, need, wish, received):
         return []
 
-    def peers_asked(self):
+    def peer_count(self):
         return 0
 
 
@@ -49,8 +49,8 @@
 
 @pytest.fixture
 def keeper(books):
-    keeper = GrantKeeper("m.1", "a", books, NoPeers(), GrantOptions(), make_lock=Semaphore)
-    keeper.declare(1, {BUDGET: 10_000_000})
+    keeper = GrantManager("m.1", "a", books, NoPeers(), GrantOptions(), make_lock=Semaphore)
+    keeper.set_limits(1, {BUDGET: 10_000_000})
     return keeper
 
 
@@ -69,10 +69,10 @@
 
 def test_a_request_does_not_wait_for_a_store_that_has_fallen_silent(books):
     options = GrantOptions(draw_patience=0.05)
-    keeper = GrantKeeper(
+    keeper = GrantManager(
         "m.1", "a", books, NoPeers(), options, make_lock=Semaphore, isolate=isolate
     )
-    keeper.declare(1, {BUDGET: 10_000_000})
+    keeper.set_limits(1, {BUDGET: 10_000_000})
     keeper.renew()
     books.seconds = 3.0
     with eventlet.Timeout(1.0):
@@ -81,10 +81,10 @@
 
 def test_an_order_that_a_request_gave_up_is_learnt_when_it_is_answered(books):
     options = GrantOptions(draw_patience=0.05)
-    keeper = GrantKeeper(
+    keeper = GrantManager(
         "m.1", "a", books, NoPeers(), options, make_lock=Semaphore, isolate=isolate
     )
-    keeper.declare(1, {BUDGET: 10_000_000})
+    keeper.set_limits(1, {BUDGET: 10_000_000})
     books.seconds = 0.2
     assert isinstance(keeper.cover(BUDGET, 5_000), Failure)
     eventlet.sleep(0.3)
@@ -111,7 +111,7 @@
             return super().put(kind, name, value, version)
 
     store = Counting()
-    drawer = AccountDrawer(
+    drawer = AccountWriter(
         store, Semaphore, lambda batch: eventlet.sleep(0.05), sleep=eventlet.sleep
     )
 
@@ -151,18 +151,18 @@
 class SilentPeers(NoPeers):
     """One peer that never replies."""
 
-    def gather(self, budget, need, wish, received):
+    def request_from_peers(self, budget, need, wish, received):
         eventlet.sleep(0.05)
         return []
 
-    def peers_asked(self):
+    def peer_count(self):
         return 1
 
 
 def test_requests_that_wait_together_in_vain_are_refused_together(books):
     """Each round takes a while; one after the other they would outlast their callers."""
-    keeper = GrantKeeper("m.1", "a", books, SilentPeers(), GrantOptions(), make_lock=Semaphore)
-    keeper.declare(1, {BUDGET: 1_000})
+    keeper = GrantManager("m.1", "a", books, SilentPeers(), GrantOptions(), make_lock=Semaphore)
+    keeper.set_limits(1, {BUDGET: 1_000})
     began = steady()
     waiters = [eventlet.spawn(keeper.cover, BUDGET, 5_000) for _ in range(30)]
     assert all(isinstance(waiter.wait(), Failure) for waiter in waiters)
--- a/whinrack/budgets/tests/test_young_demand.py
+++ b/whinrack/budgets/tests/test_young_demand.py
@@ -29,7 +29,7 @@
     supplier, entry, _ = fleet.machines
     for machine in fleet.machines:
         machine.supplier = supplier
-        machine.keeper.draws_ahead = True
+        machine.keeper.can_draw_ahead = True
     for _ in range(10):
         renew(fleet)
         fleet.now += 1.0
@@ -74,7 +74,7 @@
 def test_what_was_held_while_the_demand_was_unknown_is_given_back(seconds):
     fleet = Fleet(1, _LIMIT)
     (machine,) = fleet.machines
-    machine.keeper.draws_ahead = True
+    machine.keeper.can_draw_ahead = True
     held = []
     for _ in range(seconds):
         machine.request(1_000)
--- a/whinrack/dispatch/_dispatcher.py
+++ b/whinrack/dispatch/_dispatcher.py
@@ -7,7 +7,7 @@
 from returns.result import Failure
 
 from whinrack.base import Outcome
-from whinrack.budgets import DemandEstimate, GrantKeeper
+from whinrack.budgets import DemandEstimate, GrantManager
 from whinrack.clock import steady
 from whinrack.dispatch._answers import AnswerRelay
 from whinrack.dispatch._attempts import (
@@ -93,7 +93,7 @@
         dialect: Dialect,
         current_configuration: CurrentConfiguration,
         registry: TargetRegistry,
-        keeper: GrantKeeper,
+        keeper: GrantManager,
         connections: ConnectionPool,
         metrics: Metrics,
         options: DispatchOptions,
@@ -182,7 +182,7 @@
         declared = run.request.declared_tokens
         if declared is None or run.workspace is None:
             return
-        if not self.keeper.limited(run.workspace.name):
+        if not self.keeper.has_limit(run.workspace.name):
             return
         cover = self.keeper.cover(run.workspace.name, declared.total)
         if isinstance(cover, Failure):
--- a/whinrack/dispatch/_run_log.py
+++ b/whinrack/dispatch/_run_log.py
@@ -1,6 +1,6 @@
 """Log lines of requests: one for each decision that touches one."""
 
-from whinrack.budgets import GrantKeeper
+from whinrack.budgets import GrantManager
 from whinrack.clock import steady
 from whinrack.dispatch._request_run import Run
 from whinrack.exceptions import Refusal
@@ -43,9 +43,9 @@
     )
 
 
-def log_uncovered(run: Run, tokens: int, keeper: GrantKeeper) -> None:
+def log_uncovered(run: Run, tokens: int, keeper: GrantManager) -> None:
     """Tell that tokens could not be set aside, and what was known of the budget."""
-    last = keeper.last_known(run.workspace_name)
+    last = keeper.last_result(run.workspace_name)
     log_event(
         Event.COVER_REFUSED,
         request=run.label,
@@ -54,7 +54,7 @@
         free=last.free if last is not None else "unknown",
         outstanding=last.outstanding if last is not None else "unknown",
         supplier=keeper.supplier(run.workspace_name) or "here",
-        store_silent=round(steady() - keeper.answered_at, 3),
+        store_silent=round(steady() - keeper.last_answer_at, 3),
     )
 
 
--- a/whinrack/edge/_daemon.py
+++ b/whinrack/edge/_daemon.py
@@ -9,7 +9,7 @@
 from returns.result import Failure
 
 from whinrack.base import new_incarnation
-from whinrack.budgets import RestartMoment
+from whinrack.budgets import RestartTime
 from whinrack.clock import steady
 from whinrack.dispatch import (
     Configuration,
@@ -86,7 +86,7 @@
         target_reader: TargetReader,
         hall_reader: HallReader,
         small_answers: SmallAnswers,
-        restart: RestartMoment,
+        restart: RestartTime,
         reload: Callable[[], EdgeOptions],
     ):
         self.options = options
@@ -261,7 +261,7 @@
         return [self.halls.follower.run] if self.options.emptying_seconds else []
 
     def _in_force(self, configuration: Configuration) -> None:
-        self.keeper.declare(configuration.version, configuration.workspace_limits)
+        self.keeper.set_limits(configuration.version, configuration.workspace_limits)
         self.metrics.revision.set(configuration.version)
         log_event(Event.CONFIG_TAKEN, version=configuration.version, era=self.store.era.current)
 
@@ -270,7 +270,7 @@
         event = Event.PLATFORM_BACK if answers else Event.PLATFORM_LOST
         log_event(event, silent=silent, why=self.store.last_failure, era=self.store.era.current)
         if answers:
-            self.keeper.store_regained()
+            self.keeper.handle_store_reachable()
             # By the next round what may be used was stated up to 2.0 s later; what a process that
             # ends before it is stated may have used is out of use.
             eventlet.spawn_n(self._renew)
@@ -295,7 +295,7 @@
         """Write what this instance knows and the store has lost."""
         # An instance that peers feed calls the store seldom.
         self.store.era.learn(era)
-        self.keeper.restate(era)
+        self.keeper.handle_store_restored(era)
         eventlet.spawn_n(self._renew)
         eventlet.spawn_n(self.earlier_runs.release_again)
         self.suspects.keep_again()
--- a/whinrack/edge/_earlier_runs.py
+++ b/whinrack/edge/_earlier_runs.py
@@ -6,7 +6,7 @@
 import msgspec
 from returns.result import Failure
 
-from whinrack.budgets import GrantKeeper, RestartMoment, WallReading
+from whinrack.budgets import GrantManager, RestartTime, WallClockReading
 from whinrack.clock import steady
 from whinrack.edge._contact import StoreContact
 from whinrack.edge._options import EdgeOptions
@@ -40,10 +40,10 @@
     def __init__(
         self,
         options: EdgeOptions,
-        restart: RestartMoment,
-        keeper: GrantKeeper,
+        restart: RestartTime,
+        keeper: GrantManager,
         contact: StoreContact,
-        wall_clock: Callable[[], WallReading],
+        wall_clock: Callable[[], WallClockReading],
     ):
         self.options = options
         self.restart = restart
@@ -59,11 +59,11 @@
             self._release()
         # By now the peers are known: who draws ahead for all is agreed.
         eventlet.sleep(_PEERS_KNOWN_SECONDS)
-        self.keeper.draws_ahead = True
+        self.keeper.can_draw_ahead = True
 
     def release_again(self) -> None:
         """Do it once more: the store has come back from a copy, and may lack the first time."""
-        if self.keeper.draws_ahead:
+        if self.keeper.can_draw_ahead:
             self._release()
 
     def _release(self) -> None:
@@ -86,11 +86,11 @@
     def _clock_is_judged(self) -> bool:
         """Whether the peers have checked the time of day, or have had time enough to."""
         waited = steady() - self.restart.steady
-        return waited >= _CLOCK_CHECK_SECONDS or self.wall_clock().checked
+        return waited >= _CLOCK_CHECK_SECONDS or self.wall_clock().is_checked
 
-    def _checked_restart(self) -> RestartMoment:
+    def _checked_restart(self) -> RestartTime:
         """Return the moment of the restart, with what the peers say of its clock."""
         now = self.wall_clock()
         jumped = (now.seconds - self.restart.wall) - (steady() - self.restart.steady)
-        checked = now.checked and abs(jumped) <= _CLOCK_JUMP_SECONDS
+        checked = now.is_checked and abs(jumped) <= _CLOCK_JUMP_SECONDS
         return msgspec.structs.replace(self.restart, wall_checked=checked)
--- a/whinrack/edge/_instance_host.py
+++ b/whinrack/edge/_instance_host.py
@@ -2,7 +2,7 @@
 
 from typing import Protocol
 
-from whinrack.budgets import GrantKeeper
+from whinrack.budgets import GrantManager
 from whinrack.clock import steady
 from whinrack.dispatch import Dispatcher, HallStatus
 from whinrack.edge._contact import StoreContact
@@ -27,7 +27,7 @@
 
     options: EdgeOptions
     dispatcher: Dispatcher
-    keeper: GrantKeeper
+    keeper: GrantManager
     contact: StoreContact
     store: MeteredStore
     knowledge: StoreKnowledge
@@ -60,11 +60,11 @@
 
     def holds_tokens(self) -> bool:
         """Whether there are unspent tokens here."""
-        return self.instance.keeper.holds_tokens
+        return self.instance.keeper.has_spendable_tokens
 
     def reaches_store(self) -> bool:
         """Whether the store can be reached from here."""
-        return self.instance.contact.answers and self.instance.keeper.store_answers
+        return self.instance.contact.answers and self.instance.keeper.is_store_reachable
 
     def confirms_store(self) -> bool:
         """Whether the store has answered a call from here lately."""
--- a/whinrack/edge/_membership.py
+++ b/whinrack/edge/_membership.py
@@ -8,7 +8,7 @@
 import eventlet
 import msgspec
 
-from whinrack.budgets import WallReading
+from whinrack.budgets import WallClockReading
 from whinrack.clock import steady
 from whinrack.dispatch import CurrentConfiguration, TargetRegistry
 from whinrack.edge._entries import choose_entries, is_crowded
@@ -219,10 +219,10 @@
             return None
         return random.choice(reaching).state.sender.address
 
-    def wall_clock(self) -> WallReading:
+    def wall_clock(self) -> WallClockReading:
         """Return the time of day, checked by that of the peers."""
         seconds = time.time()
-        return WallReading(seconds, self.clocks.agrees(seconds, steady()))
+        return WallClockReading(seconds, self.clocks.agrees(seconds, steady()))
 
     def beat_forever(self) -> None:
         """Send heartbeats until the process ends."""
--- a/whinrack/edge/_stopping.py
+++ b/whinrack/edge/_stopping.py
@@ -2,7 +2,7 @@
 
 import eventlet
 
-from whinrack.budgets import GrantKeeper
+from whinrack.budgets import GrantManager
 from whinrack.clock import steady
 from whinrack.dispatch import Dispatcher
 from whinrack.edge._membership import Membership
@@ -46,7 +46,7 @@
         membership: Membership,
         front: HttpServer,
         dispatcher: Dispatcher,
-        keeper: GrantKeeper,
+        keeper: GrantManager,
         tokens: TokenExchange,
     ):
         self.membership = membership
--- a/whinrack/edge/_tokens.py
+++ b/whinrack/edge/_tokens.py
@@ -5,7 +5,7 @@
 import eventlet
 from eventlet.semaphore import Semaphore
 
-from whinrack.budgets import AccountDrawer, GrantKeeper, GrantOptions, OrderBatch, WallReading
+from whinrack.budgets import AccountWriter, GrantManager, GrantOptions, OrderBatch, WallClockReading
 from whinrack.clock import steady
 from whinrack.edge._options import EdgeOptions
 from whinrack.gossip import (
@@ -58,16 +58,16 @@
         store: ObjectStore,
         link: GossipLink,
         peers: PeerTable,
-        wall_clock: Callable[[], WallReading],
+        wall_clock: Callable[[], WallClockReading],
         own_state: Callable[[], PeerState],
     ):
         self.holder = holder
         self.link = link
         self.peers = peers
-        drawer = AccountDrawer(store, Semaphore, self._collect_orders, sleep=eventlet.sleep)
+        drawer = AccountWriter(store, Semaphore, self._collect_orders, sleep=eventlet.sleep)
         self.fleet = FleetDrawer(options.name, own_state, drawer, link, peers, options.draw_seconds)
         self.spares = PeerSpares(holder, link, peers, options.gather_seconds, own_state)
-        self.keeper = GrantKeeper(
+        self.keeper = GrantManager(
             holder,
             _ACCOUNT,
             self.fleet,
@@ -96,7 +96,7 @@
     def tell_given(self) -> None:
         """Tell the peers once more what they were given: a stop makes it final."""
         by_run = {view.state.incarnation: view for view in self.peers.live(steady())}
-        for given in self.keeper.given():
+        for given in self.keeper.given_totals():
             view = by_run.get(given.receiver)
             if view is not None:
                 reply = TokenReply(0, given.budget, self.holder, given.receiver, given.total)
@@ -119,7 +119,7 @@
     def _give(self, request: TokenRequest, address: tuple[str, int]) -> None:
         asked = (request.budget, request.receiver, request.already_received)
         if request.supply:
-            total = self.keeper.supply(*asked, request.need, request.wish)
+            total = self.keeper.give_as_supplier(*asked, request.need, request.wish)
         else:
             total = self.keeper.give(*asked, request.need, request.wish, request.draw)
         reply = TokenReply(
@@ -128,11 +128,11 @@
             giver=self.holder,
             receiver=request.receiver,
             total=total,
-            covering=self.keeper.covering(request.budget),
+            covering=self.keeper.unreported_use(request.budget),
         )
         self.link.send(reply, address)
         if request.supply:
-            self.keeper.restock(request.budget, request.need)
+            self.keeper.draw_for_peer(request.budget, request.need)
 
 
 def _isolate(function: Callable, seconds: float | None):
--- a/whinrack/gossip/_drawers.py
+++ b/whinrack/gossip/_drawers.py
@@ -8,7 +8,7 @@
 from returns.result import Failure, Result, Success
 
 from whinrack.base import rendezvous
-from whinrack.budgets import BookSource, DrawOrder, DrawResult, ReleasedRow, RunRelease
+from whinrack.budgets import AccountBackend, DrawOrder, DrawResult, ReleasedRow, RunRelease
 from whinrack.clock import steady
 from whinrack.exceptions import PlatformFailure, PlatformUnavailable
 from whinrack.gossip._link import GossipLink
@@ -64,7 +64,7 @@
         return self.accepted.ready() and not self.reply.ready()
 
 
-class FleetDrawer(BookSource):
+class FleetDrawer(AccountBackend):
     """Sends orders to the instance that writes an account, or writes them itself.
 
     Who that is follows from the names of the instances that look alive and reach the
@@ -89,7 +89,7 @@
         self,
         name: str,
         own_state: Callable[[], PeerState],
-        local: BookSource,
+        local: AccountBackend,
         link: GossipLink,
         peers: PeerTable,
         patience: float,
@@ -104,19 +104,21 @@
         self._open: dict[int, _Question] = {}
         self._avoided: dict[str, float] = {}
 
-    def draw_books(self, orders: list[DrawOrder]) -> Result[dict[str, DrawResult], PlatformFailure]:
+    def draw_for_holder(
+        self, orders: list[DrawOrder]
+    ) -> Result[dict[str, DrawResult], PlatformFailure]:
         """Apply one holder's orders for one account."""
         return self._by_writer(
             orders[0].account,
             lambda question: DrawRequest(question, orders),
-            lambda: self.local.draw_books(orders),
+            lambda: self.local.draw_for_holder(orders),
         )
 
-    def earlier_runs(self, account: str, holder: str) -> Result[list[str], PlatformFailure]:
+    def find_earlier_runs(self, account: str, holder: str) -> Result[list[str], PlatformFailure]:
         """Read which earlier runs of the holder's instance have open rows."""
-        return self.local.earlier_runs(account, holder)
+        return self.local.find_earlier_runs(account, holder)
 
-    def release(
+    def release_runs(
         self, account: str, release: RunRelease
     ) -> Result[list[ReleasedRow], PlatformFailure]:
         """Give back what earlier runs of an instance held and can't have used.
@@ -127,7 +129,7 @@
         return self._by_writer(
             account,
             lambda question: ReleaseRequest(question, account, release),
-            lambda: self.local.release(account, release),
+            lambda: self.local.release_runs(account, release),
         )
 
     def _by_writer(
@@ -159,13 +161,13 @@
         if not request.orders:
             return
         self.link.send(DrawAccepted(request.question), address)
-        books = self.local.draw_books(request.orders).value_or(None)
+        books = self.local.draw_for_holder(request.orders).value_or(None)
         self.link.send(DrawReply(request.question, books), address)
 
     def release_requested(self, request: ReleaseRequest, address: tuple[str, int]) -> None:
         """Give back what earlier runs of a peer held; after a failure the peer tries again."""
         self.link.send(DrawAccepted(request.question), address)
-        rows = self.local.release(request.account, request.release).value_or(None)
+        rows = self.local.release_runs(request.account, request.release).value_or(None)
         self.link.send(ReleaseReply(request.question, rows), address)
 
     def accepted(self, message: DrawAccepted) -> None:
--- a/whinrack/gossip/_spares.py
+++ b/whinrack/gossip/_spares.py
@@ -8,7 +8,7 @@
 from eventlet.timeout import Timeout
 
 from whinrack.base import rendezvous
-from whinrack.budgets import SpareSource, SpareTotal
+from whinrack.budgets import SpareTokenSource, TransferTotal
 from whinrack.clock import steady
 from whinrack.gossip._link import GossipLink
 from whinrack.gossip._messages import PeerState, TokenReply, TokenRequest
@@ -34,17 +34,17 @@
 
     def __init__(self, expected: int):
         self.expected = expected
-        self.replies: dict[str, SpareTotal] = {}
+        self.replies: dict[str, TransferTotal] = {}
         self.done = Event()
 
     def add(self, reply: TokenReply) -> None:
         """Take in a reply; wakes the asker with the last one."""
-        self.replies[reply.giver] = SpareTotal(reply.giver, reply.total, reply.covering)
+        self.replies[reply.giver] = TransferTotal(reply.giver, reply.total, reply.covering)
         if len(self.replies) >= self.expected and not self.done.ready():
             self.done.send(None)
 
 
-class PeerSpares(SpareSource):
+class PeerSpares(SpareTokenSource):
     """The spare tokens of the peers that are heard.
 
     Parameters
@@ -77,7 +77,7 @@
         self._avoided: dict[str, float] = {}
         self._suppliers: dict[str, tuple[float, PeerView | None]] = {}
 
-    def supplies(self, budget: str) -> bool:
+    def is_supplier(self, budget: str) -> bool:
         """Whether this run draws a budget ahead for its peers too."""
         return self._supplier(budget) is None
 
@@ -86,9 +86,9 @@
         view = self._supplier(budget)
         return "" if view is None else view.state.sender.name
 
-    def ask_supplier(
+    def request_from_supplier(
         self, budget: str, need: int, wish: int, received: dict[str, int]
-    ) -> list[SpareTotal]:
+    ) -> list[TransferTotal]:
         """Ask the peer that draws a budget ahead; one that doesn't reply is passed over."""
         supplier = self._supplier(budget)
         if supplier is None:
@@ -125,21 +125,21 @@
         names = [state.sender.name for state in prefer_strong(states)]
         return views.get(rendezvous(f"supply/{budget}", names)[0])
 
-    def gather(
+    def request_from_peers(
         self, budget: str, need: int, wish: int, received: dict[str, int]
-    ) -> list[SpareTotal]:
+    ) -> list[TransferTotal]:
         """Ask every peer that may hold some for what is needed; returns what each gave in all."""
         views = self.peers.holding(steady())[:_MOST_ASKED]
         request = self._request(budget, need, wish)
         return self._ask(views, request, received, self.patience)
 
-    def peers_asked(self) -> int:
+    def peer_count(self) -> int:
         """Return how many peers `gather` asks now."""
         return min(_MOST_ASKED, len(self.peers.holding(steady())))
 
-    def borrow(
+    def request_peer_draw(
         self, budget: str, need: int, wish: int, received: dict[str, int]
-    ) -> list[SpareTotal]:
+    ) -> list[TransferTotal]:
         """Ask one peer that reaches the store to draw what is needed."""
         reaching = self.peers.with_store(steady())
         views = {view.state.sender.name: view for view in reaching}
@@ -173,7 +173,7 @@
         request: TokenRequest,
         received: dict[str, int],
         patience: float,
-    ) -> list[SpareTotal]:
+    ) -> list[TransferTotal]:
         if not views:
             return []
         question = self._open[request.question] = _Question(len(views))
--- a/whinrack/gossip/tests/test_drawers.py
+++ b/whinrack/gossip/tests/test_drawers.py
@@ -5,11 +5,11 @@
 from returns.result import Failure, Success
 
 from whinrack.budgets import (
-    BookSource,
+    AccountBackend,
     DrawOrder,
     DrawResult,
     ReleasedRow,
-    RestartMoment,
+    RestartTime,
     RunRelease,
 )
 from whinrack.exceptions import PlatformUnavailable
@@ -29,19 +29,19 @@
 ORDERS = [DrawOrder(account="a", budget="b", holder="m1.1", sequence=1, need=5)]
 
 
-RELEASE = RunRelease("m1.2", RestartMoment(1.0, 2.0, 3.5), ["m1.1"])
+RELEASE = RunRelease("m1.2", RestartTime(1.0, 2.0, 3.5), ["m1.1"])
 ROW = ReleasedRow(budget="b", written_off=1, freed=2, seconds=0.5)
 
 
-class Books(BookSource):
+class Books(AccountBackend):
     def __init__(self):
         self.written = []
 
-    def release(self, account, release):
+    def release_runs(self, account, release):
         self.written.append(release)
         return Success([ROW])
 
-    def draw_books(self, orders):
+    def draw_for_holder(self, orders):
         self.written.append(orders)
         return Success({"b": DrawResult(sequence=1, drawn=5)})
 
@@ -86,15 +86,15 @@
     link.deliver = lambda request: drawer.replied(
         DrawReply(request.question, {"b": DrawResult(drawn=9)})
     )
-    assert drawer.draw_books(ORDERS).unwrap()["b"].drawn == 9
+    assert drawer.draw_for_holder(ORDERS).unwrap()["b"].drawn == 9
     assert books.written == []
 
 
 def test_without_a_reply_an_instance_writes_by_itself_and_asks_another_for_a_while(world):
     drawer, peers, link, books = world
     peers.heard(beat("m0"), 0.0)
-    assert drawer.draw_books(ORDERS).unwrap()["b"].drawn == 5
-    drawer.draw_books(ORDERS)
+    assert drawer.draw_for_holder(ORDERS).unwrap()["b"].drawn == 5
+    drawer.draw_for_holder(ORDERS)
     assert (len(link.sent), len(books.written)) == (1, 2)
 
 
@@ -108,7 +108,7 @@
             drawer.replied(DrawReply(request.question, {"b": DrawResult(drawn=9)}))
 
     link.deliver = only_the_second_replies
-    assert drawer.draw_books(ORDERS).unwrap()["b"].drawn == 9
+    assert drawer.draw_for_holder(ORDERS).unwrap()["b"].drawn == 9
     assert books.written == []
 
 
@@ -116,7 +116,7 @@
 def test_an_instance_out_of_reach_or_stopping_is_no_writer(world, changes):
     drawer, peers, link, _ = world
     peers.heard(beat("m0", **changes), 0.0)
-    drawer.draw_books(ORDERS)
+    drawer.draw_for_holder(ORDERS)
     assert link.sent == []
 
 
@@ -140,7 +140,7 @@
     drawer, peers, link, books = world
     peers.heard(beat("m0"), 0.0)
     slow_writer(drawer, link, 0.2, {"b": DrawResult(drawn=9)})
-    assert drawer.draw_books(ORDERS).unwrap()["b"].drawn == 9
+    assert drawer.draw_for_holder(ORDERS).unwrap()["b"].drawn == 9
     assert books.written == []
 
 
@@ -148,14 +148,14 @@
     drawer, peers, link, books = world
     peers.heard(beat("m0"), 0.0)
     slow_writer(drawer, link, 0.0, None)
-    assert drawer.draw_books(ORDERS).unwrap()["b"].drawn == 5
-    drawer.draw_books(ORDERS)
+    assert drawer.draw_for_holder(ORDERS).unwrap()["b"].drawn == 5
+    drawer.draw_for_holder(ORDERS)
     assert (len(link.sent), len(books.written)) == (1, 2)
 
 
 def test_a_writer_accepts_before_it_writes_and_tells_a_failure(world):
     drawer, _, link, books = world
-    books.draw_books = lambda orders: Failure(PlatformUnavailable("down"))
+    books.draw_for_holder = lambda orders: Failure(PlatformUnavailable("down"))
     drawer.requested(DrawRequest(3, ORDERS), ("m1", 1))
     assert link.sent == [DrawAccepted(3), DrawReply(3, None)]
 
@@ -163,7 +163,7 @@
 def test_an_instance_with_a_narrow_link_does_not_write_for_others(world):
     drawer, peers, link, books = world
     peers.heard(beat("m0", bandwidth=NARROW), 0.0)
-    drawer.draw_books(ORDERS)
+    drawer.draw_for_holder(ORDERS)
     assert (link.sent, books.written) == ([], [ORDERS])
 
 
@@ -173,7 +173,7 @@
     drawer, peers, link, books = world
     peers.heard(beat("m0"), 0.0)
     slow_writer(drawer, link, 0.2, {"b": DrawResult(drawn=9)})
-    assert isinstance(drawer.draw_books(ORDERS), Failure)
+    assert isinstance(drawer.draw_for_holder(ORDERS), Failure)
     assert books.written == []
 
 
@@ -181,13 +181,13 @@
     drawer, peers, link, books = world
     peers.heard(beat("m0"), 0.0)
     link.deliver = lambda request: drawer.replied(ReleaseReply(request.question, [ROW]))
-    assert drawer.release("a", RELEASE).unwrap() == [ROW]
+    assert drawer.release_runs("a", RELEASE).unwrap() == [ROW]
     assert (link.sent, books.written) == ([ReleaseRequest(1, "a", RELEASE)], [])
 
 
 def test_without_a_writer_an_instance_gives_back_by_itself(world):
     drawer, _, link, books = world
-    assert drawer.release("a", RELEASE).unwrap() == [ROW]
+    assert drawer.release_runs("a", RELEASE).unwrap() == [ROW]
     assert (link.sent, books.written) == ([], [RELEASE])
 
 
--- a/whinrack/gossip/tests/test_spares.py
+++ b/whinrack/gossip/tests/test_spares.py
@@ -52,7 +52,7 @@
     spares, peers, link = world
     for heartbeat in beats:
         peers.heard(heartbeat, 0.0)
-    spares.borrow(BUDGET, 10, 0, {})
+    spares.request_peer_draw(BUDGET, 10, 0, {})
     return link.asked
 
 
@@ -74,16 +74,16 @@
     for number in range(30):
         peers.heard(beat(f"p{number}", holds_tokens=number < 3), steady())
     spares = PeerSpares("me.1", link, peers, patience=0.0, own_state=lambda: beat("me").state)
-    spares.gather(BUDGET, 1, 0, {})
+    spares.request_from_peers(BUDGET, 1, 0, {})
     assert sorted(link.asked) == ["p0", "p1", "p2"]
-    assert spares.peers_asked() == 3
+    assert spares.peer_count() == 3
 
 
 def supplier_asked(world, budget, *beats):
     spares, peers, link = world
     for heartbeat in beats:
         peers.heard(heartbeat, 0.0)
-    spares.ask_supplier(budget, 10, 0, {})
+    spares.request_from_supplier(budget, 10, 0, {})
     return link.asked
 
 
@@ -102,13 +102,13 @@
     (budget, *_) = budgets_of("c", ["a", "b", "c"])
     supplier_asked(world, budget, beat("b"), beat("c"))
     left = rendezvous(f"supply/{budget}", ["a", "b"])[0]
-    assert world[0].supplies(budget) == (left == "a")
+    assert world[0].is_supplier(budget) == (left == "a")
 
 
 def test_the_supplier_itself_asks_nobody(world):
     (budget, *_) = budgets_of("a", ["a", "b", "c"])
     assert supplier_asked(world, budget, beat("b"), beat("c")) == []
-    assert world[0].supplies(budget)
+    assert world[0].is_supplier(budget)
 
 
 def test_a_stopping_instance_supplies_nobody(world):
@@ -117,7 +117,7 @@
     assert "c" not in supplier_asked(world, budget, beat("b"), beat("c", ready=False))
     world[0].own_state = lambda: beat("a", ready=False).state
     world[0]._suppliers.clear()
-    assert not world[0].supplies(other)
+    assert not world[0].is_supplier(other)
 
 
 def test_instances_with_narrow_links_supply_nothing(world):
--- a/whinrack/journal/_writer.py
+++ b/whinrack/journal/_writer.py
@@ -49,19 +49,19 @@
         self._pending: list[BillRecord] = []
         self._number = 0
         self._written: list[BillRecord] = []
-        self.added = 0
-        self.committed = 0
+        self.added_count = 0
+        self.committed_count = 0
 
     @property
-    def pending(self) -> int:
+    def pending_count(self) -> int:
         """Records that are not kept yet."""
         return len(self._pending)
 
     def add(self, record: BillRecord) -> int:
         """Queue a record; returns the count that `committed` must reach for it."""
         self._pending.append(record)
-        self.added += 1
-        return self.added
+        self.added_count += 1
+        return self.added_count
 
     def commit(self) -> bool:
         """Write what is queued; False if it could not be written now."""
@@ -76,7 +76,7 @@
             if not self._write(segment):
                 return False
             del self._pending[: len(batch)]
-            self.committed += len(batch)
+            self.committed_count += len(batch)
             self._written.extend(batch)
             if len(self._written) >= _SEGMENT_RECORDS:
                 self._number += 1
--- a/whinrack/journal/tests/test_journal.py
+++ b/whinrack/journal/tests/test_journal.py
@@ -71,7 +71,7 @@
     mark = writer.add(record("w/1"))
     store.down = True
     assert not writer.commit()
-    assert writer.committed < mark
+    assert writer.committed_count < mark
     store.down = False
     assert writer.commit()
-    assert writer.committed >= mark
+    assert writer.committed_count >= mark
--- a/whinrack/peers/_client.py
+++ b/whinrack/peers/_client.py
@@ -23,7 +23,7 @@
     FeedUpdate,
     PeerWord,
 )
-from whinrack.requests import HandedEntry, Verdict
+from whinrack.requests import ConsultReply, HandoverEntry
 
 __all__ = ["PeerClient"]
 
@@ -99,7 +99,7 @@
         reply = self._call("Spare", address, request, self.timeout)
         return reply.map(lambda message: message.given)
 
-    def consult(self, address: str, query: ConsultQuery) -> Result[Verdict, WhinrackError]:
+    def consult(self, address: str, query: ConsultQuery) -> Result[ConsultReply, WhinrackError]:
         """Ask whether this incarnation may run a request."""
         request = pb.ConsultRequest(
             identity=query.identity,
@@ -113,7 +113,7 @@
         return reply.map(_codec.verdict_from_pb)
 
     def hand_over(
-        self, address: str, home: str, entries: Sequence[HandedEntry]
+        self, address: str, home: str, entries: Sequence[HandoverEntry]
     ) -> Result[None, WhinrackError]:
         """Give a peer the part of a stopping home's memory that it will be asked for."""
         handed = [_codec.handed_to_pb(entry) for entry in entries]
--- a/whinrack/peers/_codec.py
+++ b/whinrack/peers/_codec.py
@@ -5,7 +5,7 @@
 from whinrack.budgets import DrawOrder, DrawResult
 from whinrack.membership import Member
 from whinrack.peers._pb import peer_pb2 as pb
-from whinrack.requests import Consultation, HandedEntry, RunState, Verdict
+from whinrack.requests import ConsultDecision, ConsultReply, HandoverEntry, RunState
 from whinrack.store import StoredObject
 
 __all__ = [
@@ -34,13 +34,13 @@
     name for name in DrawResult.__struct_fields__ if name in pb.DrawReply.DESCRIPTOR.fields_by_name
 )
 _CONSULTATIONS = {
-    Consultation.CEDED: pb.CEDED,
-    Consultation.HERE: pb.HERE,
-    Consultation.ELSEWHERE: pb.ELSEWHERE,
-    Consultation.BODY_MISMATCH: pb.BODY_MISMATCH,
-    Consultation.OUTCOME_UNKNOWN: pb.OUTCOME_UNKNOWN,
-    Consultation.RAN: pb.RAN,
-    Consultation.NOT_HEIR: pb.NOT_HEIR,
+    ConsultDecision.CEDED: pb.CEDED,
+    ConsultDecision.HERE: pb.HERE,
+    ConsultDecision.ELSEWHERE: pb.ELSEWHERE,
+    ConsultDecision.BODY_MISMATCH: pb.BODY_MISMATCH,
+    ConsultDecision.OUTCOME_UNKNOWN: pb.OUTCOME_UNKNOWN,
+    ConsultDecision.RAN: pb.RAN,
+    ConsultDecision.NOT_HEIR: pb.NOT_HEIR,
 }
 _CONSULTATION_OF = {value: key for key, value in _CONSULTATIONS.items()}
 
@@ -83,7 +83,7 @@
     return DrawResult(**{name: getattr(message, name) for name in _RESULT_FIELDS})
 
 
-def handed_to_pb(entry: HandedEntry) -> pb.HandoverEntry:
+def handed_to_pb(entry: HandoverEntry) -> pb.HandoverEntry:
     """Encode an entry of request memory."""
     return pb.HandoverEntry(
         identity=entry.identity,
@@ -93,20 +93,20 @@
     )
 
 
-def handed_from_pb(message: pb.HandoverEntry) -> HandedEntry:
+def handed_from_pb(message: pb.HandoverEntry) -> HandoverEntry:
     """Decode an entry of request memory."""
     state = RunState(message.state)
-    return HandedEntry(message.identity, message.body_hash, message.owner, state)
+    return HandoverEntry(message.identity, message.body_hash, message.owner, state)
 
 
-def verdict_to_pb(verdict: Verdict) -> pb.ConsultReply:
+def verdict_to_pb(verdict: ConsultReply) -> pb.ConsultReply:
     """Encode a verdict."""
-    return pb.ConsultReply(consultation=_CONSULTATIONS[verdict.consultation], owner=verdict.owner)
+    return pb.ConsultReply(consultation=_CONSULTATIONS[verdict.decision], owner=verdict.owner)
 
 
-def verdict_from_pb(message: pb.ConsultReply) -> Verdict:
+def verdict_from_pb(message: pb.ConsultReply) -> ConsultReply:
     """Decode a verdict."""
-    return Verdict(_CONSULTATION_OF[message.consultation], message.owner)
+    return ConsultReply(_CONSULTATION_OF[message.consultation], message.owner)
 
 
 def object_to_pb(stored: StoredObject) -> pb.FeedObject:
--- a/whinrack/peers/base.py
+++ b/whinrack/peers/base.py
@@ -10,7 +10,7 @@
 from whinrack.exceptions import WhinrackError
 from whinrack.feed import ConfigStore
 from whinrack.membership import Member
-from whinrack.requests import HandedEntry, Verdict
+from whinrack.requests import ConsultReply, HandoverEntry
 from whinrack.store import StoredObject
 
 __all__ = [
@@ -93,11 +93,11 @@
         """Hand tokens to a peer; returns the cumulative total."""
         raise NotImplementedError
 
-    def consult(self, query: ConsultQuery) -> Verdict:
+    def consult(self, query: ConsultQuery) -> ConsultReply:
         """Tell whether a peer may run a request."""
         raise NotImplementedError
 
-    def inherit(self, home: str, entries: list[HandedEntry]) -> None:
+    def inherit(self, home: str, entries: list[HandoverEntry]) -> None:
         """Take over the memory of a home that stops as planned."""
         raise NotImplementedError
 
--- a/whinrack/requests/__init__.py
+++ b/whinrack/requests/__init__.py
@@ -2,33 +2,33 @@
 
 from whinrack.requests._claims import (
     CLAIM_KIND,
+    ClaimStatus,
     ClaimStore,
-    ClaimVerdict,
     RequestClaim,
-    judge_claim,
-)
-from whinrack.requests._cover import (
-    ChatMessage,
-    ChatRequest,
-    check_fields,
-    cover_bound,
-    output_limit,
+    evaluate_claim,
 )
 from whinrack.requests._identity import (
-    Identity,
+    RequestIdentity,
     Ticket,
     body_digest,
+    decode_ticket,
+    encode_ticket,
     new_request_id,
-    read_ticket,
-    write_ticket,
 )
 from whinrack.requests._memory import (
-    Consultation,
-    HandedEntry,
+    ConsultDecision,
+    ConsultReply,
+    HandoverEntry,
     MemoryEntry,
     RequestMemory,
     RunState,
-    Verdict,
+)
+from whinrack.requests._token_bounds import (
+    ChatMessage,
+    ChatRequest,
+    output_token_limit,
+    reject_unbounded_fields,
+    request_token_bound,
 )
 
 __all__ = [
@@ -36,22 +36,22 @@
     "ChatMessage",
     "ChatRequest",
     "ClaimStore",
-    "ClaimVerdict",
-    "Consultation",
-    "HandedEntry",
-    "Identity",
+    "ClaimStatus",
+    "ConsultDecision",
+    "HandoverEntry",
+    "RequestIdentity",
     "MemoryEntry",
     "RequestClaim",
     "RequestMemory",
     "RunState",
     "Ticket",
-    "Verdict",
+    "ConsultReply",
     "body_digest",
-    "check_fields",
-    "cover_bound",
-    "judge_claim",
+    "reject_unbounded_fields",
+    "request_token_bound",
+    "evaluate_claim",
     "new_request_id",
-    "output_limit",
-    "read_ticket",
-    "write_ticket",
+    "output_token_limit",
+    "decode_ticket",
+    "encode_ticket",
 ]
--- a/whinrack/requests/_claims.py
+++ b/whinrack/requests/_claims.py
@@ -12,10 +12,10 @@
 from returns.result import Failure, Result, Success
 
 from whinrack.exceptions import PlatformFailure
-from whinrack.requests._identity import Identity
+from whinrack.requests._identity import RequestIdentity
 from whinrack.store import ObjectEditor, ObjectStore
 
-__all__ = ["CLAIM_KIND", "ClaimStore", "ClaimVerdict", "RequestClaim", "judge_claim"]
+__all__ = ["CLAIM_KIND", "ClaimStore", "ClaimStatus", "RequestClaim", "evaluate_claim"]
 
 CLAIM_KIND = "RequestClaim"
 
@@ -64,7 +64,9 @@
         self.wall_clock = wall_clock
         self._editor = ObjectEditor(store, CLAIM_KIND, RequestClaim, **editor_options)
 
-    def claim(self, identity: Identity, digest: bytes) -> Result[RequestClaim, PlatformFailure]:
+    def claim(
+        self, identity: RequestIdentity, digest: bytes
+    ) -> Result[RequestClaim, PlatformFailure]:
         """Claim a request; returns the claim that stands, which may be another's."""
         mine = RequestClaim(self.incarnation, digest.hex(), at=self.wall_clock())
 
@@ -77,7 +79,7 @@
 
         return self._editor.apply(identity.request_id, change)
 
-    def give_up(self, identity: Identity) -> Result[RequestClaim, PlatformFailure]:
+    def abandon(self, identity: RequestIdentity) -> Result[RequestClaim, PlatformFailure]:
         """Say that a claimed request was not run and won't be, by this holder."""
 
         def change(stored: RequestClaim | None) -> RequestClaim | None:
@@ -88,23 +90,23 @@
         return self._editor.apply(identity.request_id, change)
 
 
-class ClaimVerdict(StrEnum):
+class ClaimStatus(StrEnum):
     """What a claim means for the incarnation that asked."""
 
-    MINE = "mine"
-    OTHER = "other"
+    HELD = "mine"
+    HELD_ELSEWHERE = "other"
     BODY_MISMATCH = "body_mismatch"
 
 
-def judge_claim(
+def evaluate_claim(
     result: Result[RequestClaim, PlatformFailure], incarnation: str, digest: bytes
-) -> Result[ClaimVerdict, PlatformFailure]:
+) -> Result[ClaimStatus, PlatformFailure]:
     """Tell what the standing claim means for an incarnation."""
     if isinstance(result, Failure):
         return Failure(result.failure())
     claim = result.unwrap()
     if claim.digest != digest.hex():
-        return Success(ClaimVerdict.BODY_MISMATCH)
+        return Success(ClaimStatus.BODY_MISMATCH)
     if claim.holder != incarnation:
-        return Success(ClaimVerdict.OTHER)
-    return Success(ClaimVerdict.MINE)
+        return Success(ClaimStatus.HELD_ELSEWHERE)
+    return Success(ClaimStatus.HELD)
--- a/whinrack/requests/_identity.py
+++ b/whinrack/requests/_identity.py
@@ -8,12 +8,12 @@
 from whinrack.exceptions import BadRequest
 
 __all__ = [
-    "Identity",
+    "RequestIdentity",
     "Ticket",
     "body_digest",
     "new_request_id",
-    "read_ticket",
-    "write_ticket",
+    "decode_ticket",
+    "encode_ticket",
 ]
 
 _LONGEST_KEY = 200
@@ -21,7 +21,7 @@
 _TICKET_PREFIX = "t1."
 
 
-class Identity(msgspec.Struct, frozen=True):
+class RequestIdentity(msgspec.Struct, frozen=True):
     """A request's workspace and the key that the caller gave it.
 
     Attributes
@@ -36,7 +36,7 @@
 
     workspace: str
     key: str
-    keyed: bool
+    has_caller_key: bool
 
     @property
     def name(self) -> str:
@@ -49,7 +49,7 @@
         return f"{xxhash.xxh3_128_hexdigest(self.name.encode())}"
 
     @classmethod
-    def from_header(cls, workspace: str, header: str) -> "Identity":
+    def from_header(cls, workspace: str, header: str) -> "RequestIdentity":
         """Build the identity from the Idempotency-Key header, "" if there is none.
 
         Raises
@@ -58,13 +58,13 @@
             For a key that is too long or holds other than visible ASCII.
         """
         if not header:
-            return cls(workspace, new_request_id(), keyed=False)
+            return cls(workspace, new_request_id(), has_caller_key=False)
         if len(header) > _LONGEST_KEY or not header.isascii() or not header.isprintable():
             raise BadRequest(
                 f"Idempotency-Key: allowed are 1 to {_LONGEST_KEY} printable ASCII characters",
                 param="Idempotency-Key",
             )
-        return cls(workspace, header, keyed=True)
+        return cls(workspace, header, has_caller_key=True)
 
 
 class Ticket(msgspec.Struct, frozen=True):
@@ -87,12 +87,12 @@
     return hasher.digest()
 
 
-def write_ticket(ticket: Ticket) -> str:
+def encode_ticket(ticket: Ticket) -> str:
     """Encode a ticket for a header."""
     return _TICKET_PREFIX + ticket.home
 
 
-def read_ticket(header: str) -> Ticket | None:
+def decode_ticket(header: str) -> Ticket | None:
     """Decode a ticket; None for none at all or one that isn't ours."""
     if not header.startswith(_TICKET_PREFIX) or len(header) > _LONGEST_KEY:
         return None
--- a/whinrack/requests/_memory.py
+++ b/whinrack/requests/_memory.py
@@ -12,7 +12,14 @@
 
 import msgspec
 
-__all__ = ["Consultation", "HandedEntry", "MemoryEntry", "RequestMemory", "RunState", "Verdict"]
+__all__ = [
+    "ConsultDecision",
+    "HandoverEntry",
+    "MemoryEntry",
+    "RequestMemory",
+    "RunState",
+    "ConsultReply",
+]
 
 
 class RunState(StrEnum):
@@ -27,7 +34,7 @@
     UNKNOWN = "unknown"
 
 
-class Consultation(StrEnum):
+class ConsultDecision(StrEnum):
     """The answer to an incarnation that asks whether it may run a request."""
 
     CEDED = "ceded"
@@ -64,14 +71,14 @@
     expires: float = 0.0
 
 
-class Verdict(NamedTuple):
+class ConsultReply(NamedTuple):
     """The answer to a question, and the owner for `HERE`, `ELSEWHERE` and `RAN`."""
 
-    consultation: Consultation
+    decision: ConsultDecision
     owner: str = ""
 
 
-class HandedEntry(msgspec.Struct, frozen=True):
+class HandoverEntry(msgspec.Struct, frozen=True):
     """An entry on its way from a home that stops to the one asked next."""
 
     identity: str
@@ -87,16 +94,16 @@
     ----------
     incarnation : str
         This incarnation.
-    keep : float
+    retention : float
         Seconds that a finished request is remembered.
-    limit : int
+    max_entries : int
         Most entries; the oldest finished ones go first.
     """
 
-    def __init__(self, incarnation: str, keep: float = 600.0, limit: int = 20_000):
+    def __init__(self, incarnation: str, retention: float = 600.0, max_entries: int = 20_000):
         self.incarnation = incarnation
-        self.keep = keep
-        self.limit = limit
+        self.retention = retention
+        self.max_entries = max_entries
         self._entries: OrderedDict[str, MemoryEntry] = OrderedDict()
         self._inherited: dict[str, float] = {}
 
@@ -110,7 +117,10 @@
     def reserve(self, identity: str, digest: bytes, now: float) -> MemoryEntry:
         """Make this incarnation the owner, while it may still be asking the home."""
         entry = MemoryEntry(
-            digest=digest, owner=self.incarnation, state=RunState.ASKING, expires=now + self.keep
+            digest=digest,
+            owner=self.incarnation,
+            state=RunState.ASKING,
+            expires=now + self.retention,
         )
         self._entries[identity] = entry
         self._entries.move_to_end(identity)
@@ -130,37 +140,37 @@
         if entry is None or entry.owner != self.incarnation:
             return
         entry.state = state
-        entry.expires = now + self.keep
+        entry.expires = now + self.retention
         if answer is not None:
             entry.answer = answer
         if state is RunState.NOT_RUN:
             entry.answer = None
 
-    def hand_over(self) -> list[HandedEntry]:
+    def handover_entries(self) -> list[HandoverEntry]:
         """Return what those who are asked after a planned stop have to know."""
         return [
-            HandedEntry(identity, entry.digest, entry.owner, entry.state)
+            HandoverEntry(identity, entry.digest, entry.owner, entry.state)
             for identity, entry in self._entries.items()
             if entry.state is not RunState.NOT_RUN
         ]
 
-    def inherit(self, home: str, entries: list[HandedEntry], now: float) -> None:
+    def take_over(self, home: str, entries: list[HandoverEntry], now: float) -> None:
         """Take over the memory of a home that has stopped as planned."""
-        self._inherited[home] = now + self.keep
+        self._inherited[home] = now + self.retention
         for handed in entries:
             held = self._entries.get(handed.identity)
             # What was ceded to the home that stops is better known to it.
             if held is None or held.owner == home:
                 self._entries[handed.identity] = MemoryEntry(
-                    handed.digest, handed.owner, handed.state, expires=now + self.keep
+                    handed.digest, handed.owner, handed.state, expires=now + self.retention
                 )
         self._trim(now)
 
-    def inherited_homes(self, now: float) -> list[str]:
+    def taken_over_homes(self, now: float) -> list[str]:
         """Return the homes that this incarnation is an heir of."""
         return [home for home, until in self._inherited.items() if until > now]
 
-    def answers_for(self, home: str, now: float) -> bool:
+    def is_responsible_for(self, home: str, now: float) -> bool:
         """Whether this incarnation is a home's heir, or the home itself."""
         return home in ("", self.incarnation) or self._inherited.get(home, 0.0) > now
 
@@ -172,7 +182,7 @@
         lost_owner: str,
         repeatable: bool,
         now: float,
-    ) -> Verdict:
+    ) -> ConsultReply:
         """Answer an incarnation that wants to run a request.
 
         Parameters
@@ -191,22 +201,22 @@
         if entry is None:
             return self._cede(identity, digest, asker, now)
         if entry.digest != digest:
-            return Verdict(Consultation.BODY_MISMATCH)
+            return ConsultReply(ConsultDecision.BODY_MISMATCH)
         if entry.owner == self.incarnation:
             return self._consult_own(identity, entry, asker, repeatable, now)
         if entry.owner == asker:
-            return Verdict(Consultation.CEDED, asker)
+            return ConsultReply(ConsultDecision.CEDED, asker)
         if entry.state is RunState.FINISHED:
-            return Verdict(Consultation.RAN, entry.owner)
+            return ConsultReply(ConsultDecision.RAN, entry.owner)
         if entry.owner == lost_owner:
             if repeatable:
                 return self._cede(identity, digest, asker, now)
-            return Verdict(Consultation.OUTCOME_UNKNOWN, entry.owner)
-        return Verdict(Consultation.ELSEWHERE, entry.owner)
+            return ConsultReply(ConsultDecision.OUTCOME_UNKNOWN, entry.owner)
+        return ConsultReply(ConsultDecision.ELSEWHERE, entry.owner)
 
     def _consult_own(
         self, identity: str, entry: MemoryEntry, asker: str, repeatable: bool, now: float
-    ) -> Verdict:
+    ) -> ConsultReply:
         if entry.state is RunState.NOT_RUN:
             return self._cede(identity, entry.digest, asker, now)
         if entry.state is RunState.ASKING and asker < self.incarnation:
@@ -215,21 +225,21 @@
         if entry.state is RunState.UNKNOWN:
             if repeatable:
                 return self._cede(identity, entry.digest, asker, now)
-            return Verdict(Consultation.OUTCOME_UNKNOWN, self.incarnation)
-        return Verdict(Consultation.HERE, self.incarnation)
+            return ConsultReply(ConsultDecision.OUTCOME_UNKNOWN, self.incarnation)
+        return ConsultReply(ConsultDecision.HERE, self.incarnation)
 
-    def _cede(self, identity: str, digest: bytes, asker: str, now: float) -> Verdict:
+    def _cede(self, identity: str, digest: bytes, asker: str, now: float) -> ConsultReply:
         self._entries[identity] = MemoryEntry(
-            digest=digest, owner=asker, state=RunState.CEDED, expires=now + self.keep
+            digest=digest, owner=asker, state=RunState.CEDED, expires=now + self.retention
         )
         self._trim(now)
-        return Verdict(Consultation.CEDED, asker)
+        return ConsultReply(ConsultDecision.CEDED, asker)
 
     def _trim(self, now: float) -> None:
         """Forget expired entries, and the oldest ended ones beyond the limit."""
-        for identity in list(self._entries)[: max(2, len(self._entries) - self.limit)]:
+        for identity in list(self._entries)[: max(2, len(self._entries) - self.max_entries)]:
             entry = self._entries[identity]
             active = entry.state in _ACTIVE
-            too_many = len(self._entries) > self.limit
+            too_many = len(self._entries) > self.max_entries
             if not active and (entry.expires < now or too_many):
                 del self._entries[identity]
--- a/whinrack/requests/_cover.py
+++ b/whinrack/requests/_token_bounds.py
@@ -11,9 +11,9 @@
     "ChatMessage",
     "ChatRequest",
     "StreamOptions",
-    "check_fields",
-    "cover_bound",
-    "output_limit",
+    "reject_unbounded_fields",
+    "request_token_bound",
+    "output_token_limit",
 ]
 
 _MOST_CHOICES = 8
@@ -53,7 +53,7 @@
     stream_options: StreamOptions | None = None
 
 
-def check_fields(names: Iterable[str]) -> None:
+def reject_unbounded_fields(names: Iterable[str]) -> None:
     """Refuse fields with which an engine may use more tokens than the bound.
 
     Raises
@@ -66,7 +66,7 @@
             raise CoverUnbounded(f"{name}: its tokens can't be bounded", param=name)
 
 
-def output_limit(request: ChatRequest, pool: TargetPool) -> int:
+def output_token_limit(request: ChatRequest, pool: TargetPool) -> int:
     """Return the most tokens that one choice may have.
 
     Raises
@@ -86,7 +86,7 @@
     return limit
 
 
-def cover_bound(request: ChatRequest, body_length: int, pool: TargetPool) -> int:
+def request_token_bound(request: ChatRequest, body_length: int, pool: TargetPool) -> int:
     """Return a bound on all tokens that the request can use.
 
     Notes
@@ -104,4 +104,4 @@
             raise CoverUnbounded("messages.content: allowed is text", param="messages")
     parts = len(request.messages) + len(request.tools) + len(request.functions) + 1
     overhead = pool.prompt_overhead_tokens * parts
-    return body_length + overhead + request.n * output_limit(request, pool)
+    return body_length + overhead + request.n * output_token_limit(request, pool)
--- a/whinrack/requests/tests/test_requests.py
+++ b/whinrack/requests/tests/test_requests.py
@@ -11,18 +11,18 @@
 from whinrack.objects import TargetPool
 from whinrack.requests import (
     ChatRequest,
+    ClaimStatus,
     ClaimStore,
-    ClaimVerdict,
-    Consultation,
-    Identity,
+    ConsultDecision,
+    RequestIdentity,
     RequestMemory,
     RunState,
     Ticket,
     body_digest,
-    cover_bound,
-    judge_claim,
-    read_ticket,
-    write_ticket,
+    decode_ticket,
+    encode_ticket,
+    evaluate_claim,
+    request_token_bound,
 )
 
 POOL = TargetPool(models=("m",), max_output_tokens=100, prompt_overhead_tokens=10)
@@ -39,25 +39,25 @@
 
 
 def test_identity_is_the_same_at_every_instance():
-    one, two = (Identity.from_header("w", "k-1") for _ in range(2))
+    one, two = (RequestIdentity.from_header("w", "k-1") for _ in range(2))
     assert one.request_id == two.request_id
-    assert one.request_id != Identity.from_header("v", "k-1").request_id
-    assert Identity.from_header("w", "").key != Identity.from_header("w", "").key
+    assert one.request_id != RequestIdentity.from_header("v", "k-1").request_id
+    assert RequestIdentity.from_header("w", "").key != RequestIdentity.from_header("w", "").key
 
 
 @pytest.mark.parametrize("key", ["x" * 201, "a\nb", "é"])
 def test_bad_keys_are_refused(key):
     with pytest.raises(BadRequest):
-        Identity.from_header("w", key)
+        RequestIdentity.from_header("w", key)
 
 
 def test_ticket_survives_the_way_to_the_caller_and_back():
-    assert read_ticket(write_ticket(Ticket("r.1"))) == Ticket("r.1")
-    assert read_ticket("something else") is None
+    assert decode_ticket(encode_ticket(Ticket("r.1"))) == Ticket("r.1")
+    assert decode_ticket("something else") is None
 
 
 def test_bound_counts_every_byte_message_and_choice():
-    assert cover_bound(chat(max_tokens=7, n=3), body_length=50, pool=POOL) == 50 + 20 + 21
+    assert request_token_bound(chat(max_tokens=7, n=3), body_length=50, pool=POOL) == 50 + 20 + 21
 
 
 @pytest.mark.parametrize(
@@ -65,43 +65,43 @@
 )
 def test_absurd_limits_are_refused(fields):
     with pytest.raises(BadRequest):
-        cover_bound(chat(**fields), body_length=50, pool=POOL)
+        request_token_bound(chat(**fields), body_length=50, pool=POOL)
 
 
 def test_content_without_a_provable_bound_is_refused():
     image = [{"role": "user", "content": [{"type": "image_url", "image_url": {"url": "x"}}]}]
     with pytest.raises(CoverUnbounded):
-        cover_bound(chat(messages=image), body_length=50, pool=POOL)
+        request_token_bound(chat(messages=image), body_length=50, pool=POOL)
 
 
 def test_home_cedes_once_and_sends_others_to_the_owner():
     memory = RequestMemory("home.1")
-    assert consult(memory, "b.1") == (Consultation.CEDED, "b.1")
-    assert consult(memory, "b.1") == (Consultation.CEDED, "b.1")
-    assert consult(memory, "c.1") == (Consultation.ELSEWHERE, "b.1")
+    assert consult(memory, "b.1") == (ConsultDecision.CEDED, "b.1")
+    assert consult(memory, "b.1") == (ConsultDecision.CEDED, "b.1")
+    assert consult(memory, "c.1") == (ConsultDecision.ELSEWHERE, "b.1")
 
 
 def test_a_lost_owner_is_replaced_only_for_what_may_be_repeated():
     memory = RequestMemory("home.1")
     consult(memory, "b.1")
     verdict, _ = consult(memory, "c.1", lost="b.1", repeatable=False)
-    assert verdict is Consultation.OUTCOME_UNKNOWN
-    assert consult(memory, "c.1", lost="b.1") == (Consultation.CEDED, "c.1")
+    assert verdict is ConsultDecision.OUTCOME_UNKNOWN
+    assert consult(memory, "c.1", lost="b.1") == (ConsultDecision.CEDED, "c.1")
 
 
 def test_another_body_under_the_same_key_is_a_mistake():
     memory = RequestMemory("home.1")
     consult(memory, "b.1")
-    assert consult(memory, "c.1", digest=body_digest(b"x"))[0] is Consultation.BODY_MISMATCH
+    assert consult(memory, "c.1", digest=body_digest(b"x"))[0] is ConsultDecision.BODY_MISMATCH
 
 
 def test_what_runs_here_is_joined_here_and_what_did_not_run_is_ceded():
     memory = RequestMemory("home.1")
     memory.reserve("w/k", DIGEST, now=0.0)
     memory.set_state("w/k", RunState.RUNNING, now=0.0)
-    assert consult(memory, "b.1") == (Consultation.HERE, "home.1")
+    assert consult(memory, "b.1") == (ConsultDecision.HERE, "home.1")
     memory.set_state("w/k", RunState.NOT_RUN, now=0.0)
-    assert consult(memory, "b.1") == (Consultation.CEDED, "b.1")
+    assert consult(memory, "b.1") == (ConsultDecision.CEDED, "b.1")
 
 
 def test_two_that_ask_each_other_come_to_one_owner():
@@ -109,11 +109,11 @@
     for memory in (first, second):
         memory.reserve("w/k", DIGEST, now=0.0)
     verdicts = [consult(second, "a.1")[0], consult(first, "b.1")[0]]
-    assert verdicts == [Consultation.CEDED, Consultation.HERE]
+    assert verdicts == [ConsultDecision.CEDED, ConsultDecision.HERE]
 
 
 def test_memory_is_bounded_and_keeps_what_runs():
-    memory = RequestMemory("home.1", keep=10.0, limit=50)
+    memory = RequestMemory("home.1", retention=10.0, max_entries=50)
     memory.reserve("w/running", DIGEST, now=0.0)
     memory.set_state("w/running", RunState.RUNNING, now=0.0)
     for number in range(500):
@@ -126,28 +126,28 @@
 def test_a_claim_has_one_holder_through_lost_replies_and_races():
     for lost in itertools.product((0, 1), repeat=2):
         store = MemoryStore()
-        identity = Identity.from_header("w", "k")
+        identity = RequestIdentity.from_header("w", "k")
         verdicts = []
         for holder, replies in zip(("a.1", "b.1"), lost, strict=True):
             store.lose_replies = replies
             claims = ClaimStore(store, holder, seed=1, sleep=lambda seconds: None)
-            verdicts.append(judge_claim(claims.claim(identity, DIGEST), holder, DIGEST).unwrap())
-        assert verdicts == [ClaimVerdict.MINE, ClaimVerdict.OTHER]
+            verdicts.append(evaluate_claim(claims.claim(identity, DIGEST), holder, DIGEST).unwrap())
+        assert verdicts == [ClaimStatus.HELD, ClaimStatus.HELD_ELSEWHERE]
 
 
 def test_a_claim_that_was_given_up_can_be_made_anew():
     store = MemoryStore()
-    identity = Identity.from_header("w", "k")
+    identity = RequestIdentity.from_header("w", "k")
     first, second = ClaimStore(store, "a.1"), ClaimStore(store, "b.1")
     first.claim(identity, DIGEST)
-    assert isinstance(first.give_up(identity), Success)
+    assert isinstance(first.abandon(identity), Success)
     assert second.claim(identity, DIGEST).unwrap().holder == "b.1"
     other = second.claim(identity, body_digest(b"x"))
-    assert judge_claim(other, "b.1", body_digest(b"x")).unwrap() is ClaimVerdict.BODY_MISMATCH
+    assert evaluate_claim(other, "b.1", body_digest(b"x")).unwrap() is ClaimStatus.BODY_MISMATCH
 
 
 def test_no_claim_is_made_while_the_platform_is_away():
     store = MemoryStore()
     store.down = True
-    result = ClaimStore(store, "a.1").claim(Identity.from_header("w", "k"), DIGEST)
-    assert isinstance(judge_claim(result, "a.1", DIGEST), Failure)
+    result = ClaimStore(store, "a.1").claim(RequestIdentity.from_header("w", "k"), DIGEST)
+    assert isinstance(evaluate_claim(result, "a.1", DIGEST), Failure)
--- a/whinrack/server/_app.py
+++ b/whinrack/server/_app.py
@@ -10,7 +10,7 @@
     TargetUnavailable,
 )
 from whinrack.observability import Event, log_event
-from whinrack.requests import Identity, new_request_id
+from whinrack.requests import RequestIdentity, new_request_id
 from whinrack.server._auth import Authenticator
 from whinrack.server._chat import ChatEndpoint
 from whinrack.server._context import ServerContext
@@ -65,7 +65,9 @@
                 raise TargetUnavailable("this instance has stopped", retry_after=1.0)
             endpoint = self._endpoint(request)
             caller = self._authenticator.identify(request)
-            identity = Identity.from_header(caller.workspace_name, request.header(KEY_HEADER))
+            identity = RequestIdentity.from_header(
+                caller.workspace_name, request.header(KEY_HEADER)
+            )
             return endpoint.handle(request, caller, identity)
         except Refusal as refusal:
             self.context.metrics.refusals.labels(refusal.code).inc()
--- a/whinrack/server/_bills.py
+++ b/whinrack/server/_bills.py
@@ -45,7 +45,7 @@
         While commits fail, nobody is kept waiting for them.
         """
         end = steady() + seconds
-        while self.writer.committed < mark:
+        while self.writer.committed_count < mark:
             left = end - steady()
             if left <= 0 or self._failing:
                 return False
--- a/whinrack/server/_call.py
+++ b/whinrack/server/_call.py
@@ -3,7 +3,7 @@
 from whinrack.clock import steady
 from whinrack.exceptions import BadRequest
 from whinrack.objects import RequestClass, TargetPool
-from whinrack.requests import Identity, Ticket, body_digest, read_ticket
+from whinrack.requests import RequestIdentity, Ticket, body_digest, decode_ticket
 from whinrack.routing import RouteDecision
 from whinrack.server._admission import Slot
 from whinrack.server._answers import RunningAnswer
@@ -61,7 +61,7 @@
 
     def __init__(
         self,
-        identity: Identity,
+        identity: RequestIdentity,
         caller: Caller,
         decision: RouteDecision,
         body: bytes,
@@ -92,7 +92,7 @@
     @property
     def ticket(self) -> Ticket | None:
         """The ticket that the caller sent."""
-        return read_ticket(self.request.header(TICKET_HEADER))
+        return decode_ticket(self.request.header(TICKET_HEADER))
 
     def time_left(self) -> float:
         """Return the seconds until the deadline, never quite nothing."""
--- a/whinrack/server/_calls.py
+++ b/whinrack/server/_calls.py
@@ -64,7 +64,7 @@
     def _run_here(self, call: Call, decision: RunHere) -> HttpAnswer:
         call.claimed = decision.claimed
         call.provisional_against = decision.provisional_against
-        limit = self.context.settings.requests.answer_limit if call.identity.keyed else 0
+        limit = self.context.settings.requests.answer_limit if call.identity.has_caller_key else 0
         call.answer = RunningAnswer(limit)
         self._remember(call, RunState.RUNNING)
         try:
@@ -189,7 +189,7 @@
             return
         call.slot.release()
         call.answer.finish(whole)
-        if call.identity.keyed:
+        if call.identity.has_caller_key:
             self.context.shelf.add(call.answer)
         if whole:
             self._remember(call, RunState.FINISHED)
@@ -224,9 +224,9 @@
         """
         given_up = True
         if call.claimed:
-            given_up = not isinstance(self.context.claims.give_up(call.identity), Failure)
+            given_up = not isinstance(self.context.claims.abandon(call.identity), Failure)
         self._remember(call, RunState.NOT_RUN if given_up else RunState.UNKNOWN)
 
     def _remember(self, call: Call, state: RunState) -> None:
-        if call.identity.keyed:
+        if call.identity.has_caller_key:
             self.context.memory.set_state(call.identity.name, state, steady(), call.answer)
--- a/whinrack/server/_chat.py
+++ b/whinrack/server/_chat.py
@@ -27,7 +27,7 @@
 )
 from whinrack.objects import RequestClass
 from whinrack.observability import Event, log_event
-from whinrack.requests import ChatRequest, Identity, cover_bound, output_limit
+from whinrack.requests import ChatRequest, RequestIdentity, output_token_limit, request_token_bound
 from whinrack.routing import RequestFacts
 from whinrack.server._auth import Caller
 from whinrack.server._call import Call, deadline_of, request_class_of
@@ -105,7 +105,7 @@
     def __init__(self, context: ServerContext):
         super().__init__(context)
 
-    def handle(self, request: HttpRequest, caller: Caller, identity: Identity) -> HttpAnswer:
+    def handle(self, request: HttpRequest, caller: Caller, identity: RequestIdentity) -> HttpAnswer:
         """Answer one request."""
         body = request.read_body()
         chat = parse_chat(body)
@@ -123,8 +123,10 @@
         )
         decision = self.policies.decide(caller.workspace.policy, facts, serving)
         pool = serving[decision.pools[0]].spec
-        limit = output_limit(chat, pool)
-        bound = max(cover_bound(chat, len(body), serving[name].spec) for name in decision.pools)
+        limit = output_token_limit(chat, pool)
+        bound = max(
+            request_token_bound(chat, len(body), serving[name].spec) for name in decision.pools
+        )
         call = ChatCall(
             chat,
             limit,
--- a/whinrack/server/_chat_request.py
+++ b/whinrack/server/_chat_request.py
@@ -3,7 +3,7 @@
 import msgspec
 
 from whinrack.exceptions import BadRequest
-from whinrack.requests import ChatRequest, check_fields
+from whinrack.requests import ChatRequest, reject_unbounded_fields
 
 __all__ = ["engine_body", "parse_chat"]
 
@@ -37,7 +37,7 @@
 def engine_body(body: bytes, chat: ChatRequest, limit: int) -> bytes:
     """Return the body for the engine: the caller's, with a limit and usage reports."""
     fields = _FIELDS.decode(body)
-    check_fields(fields)
+    reject_unbounded_fields(fields)
     fields.pop("max_completion_tokens", None)
     fields["max_tokens"] = msgspec.Raw(str(limit).encode())
     if chat.stream:
--- a/whinrack/server/_consulting.py
+++ b/whinrack/server/_consulting.py
@@ -9,7 +9,7 @@
 from whinrack.clock import steady
 from whinrack.membership import Member
 from whinrack.peers import ConsultQuery
-from whinrack.requests import Consultation, Identity, Verdict
+from whinrack.requests import ConsultDecision, ConsultReply, RequestIdentity
 from whinrack.server._context import ServerContext
 
 __all__ = ["AskedRequest", "HeirReply", "PeerConsultant"]
@@ -24,7 +24,7 @@
         Another incarnation that is remembered as the owner, "" if there is none.
     """
 
-    identity: Identity
+    identity: RequestIdentity
     digest: bytes
     repeatable: bool
     ticketed: bool
@@ -35,7 +35,7 @@
     """What the heir of a home says; `member` is None where this incarnation is the heir."""
 
     member: Member | None
-    verdict: Verdict
+    verdict: ConsultReply
 
 
 class PeerConsultant:
@@ -57,18 +57,18 @@
         heirs = [own, *self.context.table.heirs(now)]
         name = rendezvous(asked.identity.name, heirs)[0]
         if name == own:
-            if self.context.memory.answers_for(home, now):
-                return HeirReply(None, Verdict(Consultation.CEDED, own))
+            if self.context.memory.is_responsible_for(home, now):
+                return HeirReply(None, ConsultReply(ConsultDecision.CEDED, own))
             return None
         member = self.context.table.find(name)
         reply = self.ask(member, asked, "", home)
-        if reply is None or reply.consultation is Consultation.NOT_HEIR:
+        if reply is None or reply.decision is ConsultDecision.NOT_HEIR:
             return None
         return HeirReply(member, reply)
 
     def ask(
         self, member: Member | None, asked: AskedRequest, lost: str, home: str = ""
-    ) -> Verdict | None:
+    ) -> ConsultReply | None:
         """Ask one peer; None if it can't be reached."""
         if member is None:
             self.context.metrics.consultations.labels("unreachable").inc()
@@ -86,5 +86,5 @@
             self.context.metrics.consultations.labels("unreachable").inc()
             return None
         verdict = reply.unwrap()
-        self.context.metrics.consultations.labels(str(verdict.consultation)).inc()
+        self.context.metrics.consultations.labels(str(verdict.decision)).inc()
         return verdict
--- a/whinrack/server/_context.py
+++ b/whinrack/server/_context.py
@@ -2,7 +2,7 @@
 
 import msgspec
 
-from whinrack.budgets import BudgetKeeper
+from whinrack.budgets import BudgetManager
 from whinrack.engines import TargetClient
 from whinrack.feed import ConfigStore
 from whinrack.membership import Member, MembershipTable
@@ -45,7 +45,7 @@
     state: DaemonState
     config: ConfigStore
     table: MembershipTable
-    keeper: BudgetKeeper
+    keeper: BudgetManager
     memory: RequestMemory
     claims: ClaimStore
     bills: BillKeeper
--- a/whinrack/server/_daemon.py
+++ b/whinrack/server/_daemon.py
@@ -8,7 +8,7 @@
 from eventlet.semaphore import Semaphore
 
 from whinrack.base import new_incarnation, rendezvous
-from whinrack.budgets import AccountDrawer, BudgetKeeper
+from whinrack.budgets import AccountWriter, BudgetManager
 from whinrack.clock import steady
 from whinrack.engines import TargetClient
 from whinrack.exceptions import InvalidObject
@@ -88,9 +88,9 @@
         peers = PeerClient(
             settings.peer.fleet_key, settings.peer.timeout, metrics, self._tls(client_context)
         )
-        drawer = AccountDrawer(self.store, Semaphore)
+        drawer = AccountWriter(self.store, Semaphore)
         source = RegionSource(self._own, table, peers, drawer, metrics)
-        keeper = BudgetKeeper(
+        keeper = BudgetManager(
             incarnation,
             source,
             PeerSpares(self._own, table, peers),
@@ -210,13 +210,13 @@
         context, now = self.context, steady()
         home = context.state.incarnation
         shares = {heir: [] for heir in context.table.heirs(now)}
-        for entry in context.memory.hand_over():
+        for entry in context.memory.handover_entries():
             if shares:
                 shares[rendezvous(entry.identity, shares)[0]].append(entry)
         for heir, entries in shares.items():
             address = context.table.find(heir).peer_address
             context.peers.hand_over(address, home, entries)
-            for earlier in context.memory.inherited_homes(now):
+            for earlier in context.memory.taken_over_homes(now):
                 context.peers.hand_over(address, earlier, ())
 
     def _give_back(self) -> bool:
--- a/whinrack/server/_operations.py
+++ b/whinrack/server/_operations.py
@@ -7,7 +7,7 @@
 from whinrack.clock import steady
 from whinrack.exceptions import Unauthorized
 from whinrack.objects import TargetPool
-from whinrack.requests import Ticket, write_ticket
+from whinrack.requests import Ticket, encode_ticket
 from whinrack.server._context import ServerContext
 from whinrack.server._http import HttpAnswer, HttpRequest, json_answer
 from whinrack.status import FLEET_KEY_HEADER, GrantStatus, RouterStatus
@@ -68,7 +68,7 @@
         reply = EntryReply(
             addresses=[member.http_address for member in members[:_MOST_ADDRESSES]],
             valid_seconds=self.context.settings.http.entry_seconds,
-            ticket=write_ticket(Ticket(home.incarnation)),
+            ticket=encode_ticket(Ticket(home.incarnation)),
         )
         return json_answer(reply)
 
@@ -117,8 +117,8 @@
                 ledger.budget,
                 ledger.spendable,
                 ledger.open_cover,
-                ledger.closed,
-                ledger.unreported,
+                ledger.is_closed,
+                ledger.has_unreported_totals,
             )
             for ledger in context.keeper.ledgers()
         ]
@@ -143,5 +143,5 @@
         metrics.in_progress.set(context.state.in_progress)
         metrics.spendable.set(sum(ledger.spendable for ledger in ledgers))
         metrics.open_cover.set(sum(ledger.open_cover for ledger in ledgers))
-        metrics.journal_pending.set(context.bills.writer.pending)
+        metrics.journal_pending.set(context.bills.writer.pending_count)
         metrics.memory_entries.set(len(context.memory))
--- a/whinrack/server/_ownership.py
+++ b/whinrack/server/_ownership.py
@@ -27,13 +27,13 @@
 )
 from whinrack.membership import Member
 from whinrack.requests import (
-    ClaimVerdict,
-    Consultation,
-    Identity,
+    ClaimStatus,
+    ConsultDecision,
     MemoryEntry,
+    RequestIdentity,
     RunState,
     Ticket,
-    judge_claim,
+    evaluate_claim,
 )
 from whinrack.server._consulting import AskedRequest, PeerConsultant
 from whinrack.server._context import ServerContext
@@ -87,7 +87,7 @@
         self.consultant = PeerConsultant(context)
 
     def settle(
-        self, identity: Identity, digest: bytes, ticket: Ticket | None, repeatable: bool
+        self, identity: RequestIdentity, digest: bytes, ticket: Ticket | None, repeatable: bool
     ) -> RunHere | JoinHere | JoinPeer:
         """Decide who runs a request.
 
@@ -95,7 +95,7 @@
         ------
         KeyReused, OutcomeUnknown, ClaimUnavailable
         """
-        if not identity.keyed:
+        if not identity.has_caller_key:
             return RunHere()
         entry = self._memory.find(identity.name)
         if entry is not None and entry.digest != digest:
@@ -173,19 +173,19 @@
                 if heir is None:
                     return self._without(asked, asking)
                 member, reply = heir
-            match reply.consultation:
-                case Consultation.RAN:
+            match reply.decision:
+                case ConsultDecision.RAN:
                     raise AnswerNotKept("the request ran at an instance that has stopped")
-                case Consultation.CEDED:
+                case ConsultDecision.CEDED:
                     return RunHere(provisional_against=lost)
-                case Consultation.HERE:
+                case ConsultDecision.HERE:
                     self._hand_over(asked, member.incarnation)
                     return JoinPeer(member)
-                case Consultation.ELSEWHERE:
+                case ConsultDecision.ELSEWHERE:
                     asking = reply.owner
-                case Consultation.BODY_MISMATCH:
+                case ConsultDecision.BODY_MISMATCH:
                     raise KeyReused("the key was used with another body")
-                case Consultation.OUTCOME_UNKNOWN:
+                case ConsultDecision.OUTCOME_UNKNOWN:
                     raise OutcomeUnknown("an earlier try may have run", retry_after=_RETRY_AFTER)
         return self._without(asked, asking)
 
@@ -227,7 +227,7 @@
     def _claim(self, asked: AskedRequest, decision: RunHere) -> RunHere | JoinPeer:
         """Ask the platform for the claim on a request that runs at most once."""
         result = self.context.claims.claim(asked.identity, asked.digest)
-        verdict = judge_claim(result, self._own, asked.digest)
+        verdict = evaluate_claim(result, self._own, asked.digest)
         if isinstance(verdict, Failure):
             unreachable = isinstance(verdict.failure(), PlatformUnavailable | RateExceeded)
             if asked.ticketed and unreachable:
@@ -238,9 +238,9 @@
                 retry_after=_RETRY_AFTER,
             )
         match verdict.unwrap():
-            case ClaimVerdict.MINE:
+            case ClaimStatus.HELD:
                 return RunHere(decision.provisional_against, claimed=True)
-            case ClaimVerdict.BODY_MISMATCH:
+            case ClaimStatus.BODY_MISMATCH:
                 raise KeyReused("the key was used with another body")
         return self._join_holder(asked, result.unwrap().holder)
 
@@ -248,10 +248,10 @@
         """Join the answer of the claim's holder, which alone may run the request."""
         member = self.context.table.find(holder)
         reply = self.consultant.ask(member, asked, "")
-        if reply is not None and reply.consultation is Consultation.HERE:
+        if reply is not None and reply.decision is ConsultDecision.HERE:
             self._hand_over(asked, holder)
             return JoinPeer(member)
-        if reply is not None and reply.consultation is Consultation.CEDED:
+        if reply is not None and reply.decision is ConsultDecision.CEDED:
             # The holder did not run it and promises that it won't.
             return RunHere()
         raise OutcomeUnknown(
--- a/whinrack/server/_peer_handlers.py
+++ b/whinrack/server/_peer_handlers.py
@@ -6,7 +6,7 @@
 from eventlet.event import Event as GreenEvent
 from returns.result import Failure, Result
 
-from whinrack.budgets import AccountDrawer, DrawOrder, DrawResult
+from whinrack.budgets import AccountWriter, DrawOrder, DrawResult
 from whinrack.clock import steady
 from whinrack.exceptions import PeerUnavailable, PlatformFailure, Refusal
 from whinrack.membership import Member
@@ -18,7 +18,7 @@
     PeerHandlers,
     PeerWord,
 )
-from whinrack.requests import Consultation, HandedEntry, RunState, Verdict
+from whinrack.requests import ConsultDecision, ConsultReply, HandoverEntry, RunState
 from whinrack.server._context import ServerContext
 
 __all__ = ["ChangeSignal", "DaemonHandlers"]
@@ -62,7 +62,7 @@
     def __init__(
         self,
         context: ServerContext,
-        drawer: AccountDrawer,
+        drawer: AccountWriter,
         signal: ChangeSignal,
         on_leaving: Callable[[], None],
     ):
@@ -97,10 +97,10 @@
         """Hand tokens to a peer; returns the cumulative total."""
         return self.context.keeper.give(budget, receiver, already_received, need, wish)
 
-    def consult(self, query: ConsultQuery) -> Verdict:
+    def consult(self, query: ConsultQuery) -> ConsultReply:
         """Tell whether a peer may run a request."""
-        if not self.context.memory.answers_for(query.home, steady()):
-            return Verdict(Consultation.NOT_HEIR)
+        if not self.context.memory.is_responsible_for(query.home, steady()):
+            return ConsultReply(ConsultDecision.NOT_HEIR)
         return self.context.memory.consult(
             query.identity,
             query.digest,
@@ -110,9 +110,9 @@
             steady(),
         )
 
-    def inherit(self, home: str, entries: list[HandedEntry]) -> None:
+    def inherit(self, home: str, entries: list[HandoverEntry]) -> None:
         """Take over the memory of a home that stops as planned."""
-        self.context.memory.inherit(home, entries, steady())
+        self.context.memory.take_over(home, entries, steady())
 
     def join(self, identity: str) -> Iterator[AnswerPart]:
         """Yield the answer of a request that runs or ran here."""
--- a/whinrack/server/_services.py
+++ b/whinrack/server/_services.py
@@ -9,7 +9,7 @@
 from whinrack.engines import body_chunks, refused_unstarted, retry_after
 from whinrack.exceptions import AnswerCut, Refusal, TargetFailed, TargetUnavailable, UnknownPool
 from whinrack.objects import Protocol
-from whinrack.requests import Identity
+from whinrack.requests import RequestIdentity
 from whinrack.routing import RequestFacts
 from whinrack.server._auth import Caller
 from whinrack.server._call import Call, deadline_of, request_class_of
@@ -55,7 +55,7 @@
 
     kind = "service"
 
-    def handle(self, request: HttpRequest, caller: Caller, identity: Identity) -> HttpAnswer:
+    def handle(self, request: HttpRequest, caller: Caller, identity: RequestIdentity) -> HttpAnswer:
         """Answer one request."""
         name, _, path = request.path.removeprefix(SERVICES_PREFIX).partition("/")
         pool = self.context.directory.pools().get(name)
--- a/whinrack/server/_settlement.py
+++ b/whinrack/server/_settlement.py
@@ -7,7 +7,7 @@
 from whinrack.engines import Usage
 from whinrack.journal import BillRecord
 from whinrack.observability import Event, log_event
-from whinrack.requests import Identity
+from whinrack.requests import RequestIdentity
 from whinrack.server._auth import Caller
 from whinrack.server._context import ServerContext
 
@@ -35,7 +35,7 @@
         self,
         context: ServerContext,
         caller: Caller,
-        identity: Identity,
+        identity: RequestIdentity,
         bound: int,
         provisional_against: str,
     ):
@@ -81,7 +81,7 @@
             Content events that were seen, each at least one token.
         """
         cover = self._cover
-        if cover is None or cover.settled:
+        if cover is None or cover.is_settled:
             return
         if usage is None:
             billed = min(events, cover.tokens)
@@ -104,7 +104,7 @@
     def write_off(self, usage: Usage | None) -> None:
         """Take the tokens of a try that may have run out of use, without a bill."""
         cover = self._cover
-        if cover is None or cover.settled:
+        if cover is None or cover.is_settled:
             return
         lost = cover.tokens if usage is None else min(usage.total_tokens, cover.tokens)
         cover.settle(0, lost)
--- a/whinrack/server/_sources.py
+++ b/whinrack/server/_sources.py
@@ -6,12 +6,12 @@
 from returns.result import Failure, Result
 
 from whinrack.budgets import (
-    AccountDrawer,
+    AccountWriter,
     DrawOrder,
     DrawResult,
-    SpareSource,
-    SpareTotal,
+    SpareTokenSource,
     TokenSource,
+    TransferTotal,
 )
 from whinrack.clock import steady
 from whinrack.exceptions import WhinrackError
@@ -40,7 +40,7 @@
         own,
         table: MembershipTable,
         peers: PeerClient,
-        drawer: AccountDrawer,
+        drawer: AccountWriter,
         metrics: Metrics,
     ):
         self.own = own
@@ -68,7 +68,7 @@
         self.metrics.draws.labels(path, label).inc()
 
 
-class PeerSpares(SpareSource):
+class PeerSpares(SpareTokenSource):
     """Asks the peers that look alive, all at once, the own region's first.
 
     Parameters
@@ -82,9 +82,9 @@
         self.table = table
         self.peers = peers
 
-    def gather(
+    def request_from_peers(
         self, budget: str, need: int, wish: int, received: dict[str, int]
-    ) -> Iterable[SpareTotal]:
+    ) -> Iterable[TransferTotal]:
         """Ask peers for tokens and yield what each has given in all."""
         own = self.own()
         members = self.table.alive(steady())
@@ -92,12 +92,12 @@
         pool = eventlet.GreenPool(_MOST_ASKED)
         missing = need
 
-        def ask(member: Member) -> SpareTotal:
+        def ask(member: Member) -> TransferTotal:
             known = received.get(member.incarnation, 0)
             reply = self.peers.spare(
                 member.peer_address, budget, own.incarnation, known, max(0, missing), wish
             )
-            return SpareTotal(member.incarnation, reply.value_or(known))
+            return TransferTotal(member.incarnation, reply.value_or(known))
 
         for spare in pool.imap(ask, members[:_MOST_ASKED]):
             missing -= max(0, spare.total - received.get(spare.giver, 0))
--- a/whinrack/server/_streams.py
+++ b/whinrack/server/_streams.py
@@ -36,7 +36,7 @@
 
     def close(self) -> None:
         """End or detach the body; the server calls this in every case."""
-        if self.call.ended or not self.call.identity.keyed:
+        if self.call.ended or not self.call.identity.has_caller_key:
             self.body.close()
             return
         eventlet.spawn_n(self._run_on)
--- a/whinrack/server/_tasks.py
+++ b/whinrack/server/_tasks.py
@@ -100,7 +100,7 @@
         """Report settled tokens, and notice grants that an operator released."""
         self.context.keeper.report()
         for ledger in self.context.keeper.ledgers():
-            if ledger.closed and ledger.budget not in self._closed:
+            if ledger.is_closed and ledger.budget not in self._closed:
                 self._closed.add(ledger.budget)
                 log_event(Event.GRANT_CLOSED, budget=ledger.budget)
 
--- a/whinrack/server/tests/test_ownership.py
+++ b/whinrack/server/tests/test_ownership.py
@@ -9,10 +9,10 @@
 from whinrack.exceptions import PeerUnavailable
 from whinrack.membership import Member
 from whinrack.observability import Metrics
-from whinrack.requests import Identity, RequestMemory, RunState, body_digest
+from whinrack.requests import RequestIdentity, RequestMemory, RunState, body_digest
 from whinrack.server._ownership import JoinHere, JoinPeer, Ownership, RunHere
 
-IDENTITY = Identity.from_header("w", "same")
+IDENTITY = RequestIdentity.from_header("w", "same")
 DIGEST = body_digest(b"body")
 HOME = "z-home"
 
