--- a/whinrack/cli/tests/test_quarantine.py
+++ b/whinrack/cli/tests/test_quarantine.py
@@ -4,7 +4,7 @@
 from click.testing import CliRunner
 
 from whinrack.cli._main import main
-from whinrack.edge._operator_answers import OperatorAnswers
+from whinrack.edge._operator_endpoints import OperatorEndpoints
 from whinrack.http1 import Exchange, RequestHead
 from whinrack.quarantine import Quarantine, QuarantineHost, RequestName, TargetEnd
 
@@ -26,8 +26,8 @@
         pass
 
 
-class Figures:
-    def figures(self, exchange):
+class MetricsEndpoint:
+    def handle_metrics(self, exchange):
         exchange.respond(200, [], b"figures")
 
 
@@ -48,11 +48,11 @@
 
 @pytest.fixture
 def ask(quarantine):
-    answers = OperatorAnswers(Figures(), quarantine)
+    answers = OperatorEndpoints(MetricsEndpoint(), quarantine)
 
     def ask(method, path):
         sink = Sink()
-        answers.answer(Exchange(sink, RequestHead(method, path, []), b""))
+        answers.handle(Exchange(sink, RequestHead(method, path, []), b""))
         return sink.status, sink.body
 
     return ask
--- a/whinrack/edge/__init__.py
+++ b/whinrack/edge/__init__.py
@@ -1,7 +1,7 @@
 """The daemon that serves declared routes."""
 
-from whinrack.edge._answers import SmallAnswers
 from whinrack.edge._daemon import EdgeDaemon
+from whinrack.edge._endpoints import AuxiliaryEndpoints
 from whinrack.edge._options import EdgeOptions
 from whinrack.edge._readers import ConfigurationReader, HallReader, TargetReader
 
@@ -10,6 +10,6 @@
     "EdgeDaemon",
     "EdgeOptions",
     "HallReader",
-    "SmallAnswers",
+    "AuxiliaryEndpoints",
     "TargetReader",
 ]
--- a/whinrack/edge/_daemon.py
+++ b/whinrack/edge/_daemon.py
@@ -22,25 +22,25 @@
     TargetRegistry,
     WarmUpLimits,
 )
-from whinrack.edge._answers import SmallAnswers
-from whinrack.edge._contact import StoreContact
 from whinrack.edge._earlier_runs import EarlierRuns
-from whinrack.edge._feeding import FeedPlan
-from whinrack.edge._halls import HallKnowledge
+from whinrack.edge._emptied_halls import HallKnowledge
+from whinrack.edge._endpoints import AuxiliaryEndpoints
+from whinrack.edge._graceful_shutdown import PlannedStop
 from whinrack.edge._instance_host import InstanceHost
 from whinrack.edge._knowledge import StoreKnowledge
+from whinrack.edge._knowledge_exchange import KnowledgeServer, SharedKnowledge, fetch_knowledge
 from whinrack.edge._limit_log import LimitLog
 from whinrack.edge._membership import Membership
-from whinrack.edge._operator_answers import OperatorAnswers
+from whinrack.edge._operator_endpoints import OperatorEndpoints
 from whinrack.edge._options import EdgeOptions, HostPort
 from whinrack.edge._readers import ConfigurationReader, HallReader, TargetReader, shown
-from whinrack.edge._reloading import SettingsFollower
-from whinrack.edge._sharing import KnowledgeServer, SharedKnowledge, fetch_knowledge
-from whinrack.edge._stopping import PlannedStop
+from whinrack.edge._settings_follower import SettingsFollower
+from whinrack.edge._store_availability import StoreContact
 from whinrack.edge._suspects import SuspectExchange
 from whinrack.edge._tokens import TokenExchange
 from whinrack.edge._traffic import Place
 from whinrack.edge._upkeep import Upkeep
+from whinrack.edge._upstream_selection import FeedPlan
 from whinrack.edge._warm_up_log import WarmUpLog
 from whinrack.http1 import ConnectionPool, HttpServer
 from whinrack.observability import BoundedOutput, Event, Metrics, configure_logs, log_event
@@ -69,11 +69,11 @@
     configuration_reader : ConfigurationReader
     target_reader : TargetReader
     hall_reader : HallReader
-    small_answers : SmallAnswers
+    endpoints : SmallAnswers
         Answers callers' question where to go, and whether this instance is ready.
     restart : RestartMoment
         When this run started.
-    reload : callable
+    read_options : callable
         Reads the settings again and returns the `EdgeOptions`; raises `InvalidSettings`.
     """
 
@@ -85,13 +85,13 @@
         configuration_reader: ConfigurationReader,
         target_reader: TargetReader,
         hall_reader: HallReader,
-        small_answers: SmallAnswers,
+        endpoints: AuxiliaryEndpoints,
         restart: RestartTime,
-        reload: Callable[[], EdgeOptions],
+        read_options: Callable[[], EdgeOptions],
     ):
         self.options = options
         self.dialect = dialect
-        self.settings = SettingsFollower(options, reload, self._use)
+        self.settings = SettingsFollower(options, read_options, self._use)
         self.holder = new_incarnation(options.name)
         self.metrics = Metrics()
         self.store = MeteredStore(store, self._count_call)
@@ -190,7 +190,7 @@
             self.membership.traffic.moved_to_hall,
             self.suspects.quarantine,
         )
-        self.small_answers = small_answers
+        self.endpoints = endpoints
         self.front = HttpServer(
             options.callers,
             self.dispatcher.handle,
@@ -223,12 +223,12 @@
 
     def _start_servers(self) -> None:
         self.front.start()
-        answers = self.small_answers
+        answers = self.endpoints
         answers.bind(self.membership, self.metrics, self.options)
         places = (
-            (self.options.directory, answers.where_to_go),
-            (self.options.ready, answers.is_ready),
-            (self.options.metrics, OperatorAnswers(answers, self.suspects.quarantine).answer),
+            (self.options.directory, answers.handle_directory),
+            (self.options.ready, answers.handle_ready),
+            (self.options.metrics, OperatorEndpoints(answers, self.suspects.quarantine).handle),
         )
         for address, handle in places:
             if address is not None:
@@ -333,7 +333,7 @@
     def _use(self, options: EdgeOptions) -> None:
         """Put changed settings in force."""
         self.options = options
-        self.small_answers.options = options
+        self.endpoints.options = options
         self.output.lines_per_second = options.log_lines_per_second
         self.membership.add_seeds(options.seeds)
         self.dispatcher.apply_options(_dispatch_options(options))
--- a/whinrack/edge/_earlier_runs.py
+++ b/whinrack/edge/_earlier_runs.py
@@ -8,8 +8,8 @@
 
 from whinrack.budgets import GrantManager, RestartTime, WallClockReading
 from whinrack.clock import steady
-from whinrack.edge._contact import StoreContact
 from whinrack.edge._options import EdgeOptions
+from whinrack.edge._store_availability import StoreContact
 from whinrack.observability import Event, log_event
 
 __all__ = ["EarlierRuns"]
--- a/whinrack/edge/_halls.py
+++ b/whinrack/edge/_emptied_halls.py
@@ -5,10 +5,10 @@
 import eventlet
 
 from whinrack.dispatch import HallStatus, TargetRegistry
-from whinrack.edge._contact import StoreContact
+from whinrack.edge._kind_follower import KindFollower, SourcePlan
 from whinrack.edge._readers import HallReader, shown
 from whinrack.edge._relay import KindRelay
-from whinrack.edge._sources import KindFollower, SourcePlan
+from whinrack.edge._store_availability import StoreContact
 from whinrack.exceptions import InvalidObject
 from whinrack.observability import Event, log_event
 from whinrack.store import StoredObject, era_of, shown_revision
--- a/whinrack/edge/_answers.py
+++ b/whinrack/edge/_endpoints.py
@@ -5,7 +5,7 @@
 from whinrack.http1 import Exchange, Headers, RequestHead
 from whinrack.observability import Metrics
 
-__all__ = ["SmallAnswers"]
+__all__ = ["AuxiliaryEndpoints"]
 
 _OK = 200
 _NOT_FOUND = 404
@@ -13,7 +13,7 @@
 _TEXT: Headers = [(b"content-type", b"text/plain; version=0.0.4")]
 
 
-class SmallAnswers:
+class AuxiliaryEndpoints:
     """Answers where callers should go, whether to send them here, and figures.
 
     A dialect's subclass says how the first two are put, and read.
@@ -28,31 +28,31 @@
         self.metrics = metrics
         self.options = options
 
-    def where_body(self, addresses: list[str], seconds: float) -> tuple[Headers, bytes]:
+    def encode_addresses(self, addresses: list[str], seconds: float) -> tuple[Headers, bytes]:
         """Put the answer into words: addresses and how long they may be kept."""
         raise NotImplementedError
 
-    def hall_of_caller(self, head: RequestHead) -> str:
+    def caller_data_hall(self, head: RequestHead) -> str:
         """Return the data hall that a caller says it is in, empty if it says none."""
         raise NotImplementedError
 
-    def where_to_go(self, exchange: Exchange) -> None:
+    def handle_directory(self, exchange: Exchange) -> None:
         """Tell the instances that take callers."""
         if not _asks_for(exchange, self.directory_path):
             exchange.respond(_NOT_FOUND, [], b"")
             return
-        addresses = self.membership.caller_addresses(self.hall_of_caller(exchange.head))
-        headers, body = self.where_body(addresses, self.options.answer_seconds)
+        addresses = self.membership.caller_addresses(self.caller_data_hall(exchange.head))
+        headers, body = self.encode_addresses(addresses, self.options.answer_seconds)
         exchange.respond(_OK, headers, body)
 
-    def is_ready(self, exchange: Exchange) -> None:
+    def handle_ready(self, exchange: Exchange) -> None:
         """Tell whether this instance takes callers."""
         if not _asks_for(exchange, self.ready_path):
             exchange.respond(_NOT_FOUND, [], b"")
             return
         exchange.respond(_OK if self.membership.ready else _UNAVAILABLE, [], b"")
 
-    def figures(self, exchange: Exchange) -> None:
+    def handle_metrics(self, exchange: Exchange) -> None:
         """Tell the metrics."""
         exchange.respond(_OK, _TEXT, self.metrics.render())
 
--- a/whinrack/edge/_instance_host.py
+++ b/whinrack/edge/_instance_host.py
@@ -5,12 +5,12 @@
 from whinrack.budgets import GrantManager
 from whinrack.clock import steady
 from whinrack.dispatch import Dispatcher, HallStatus
-from whinrack.edge._contact import StoreContact
-from whinrack.edge._entries import serves_callers
-from whinrack.edge._halls import HallKnowledge
+from whinrack.edge._emptied_halls import HallKnowledge
+from whinrack.edge._entry_selection import serves_callers
 from whinrack.edge._knowledge import StoreKnowledge
 from whinrack.edge._membership_host import MembershipHost
 from whinrack.edge._options import EdgeOptions, HostPort
+from whinrack.edge._store_availability import StoreContact
 from whinrack.edge._suspects import SuspectExchange
 from whinrack.edge._tokens import TokenExchange
 from whinrack.gossip import GoneTarget, Message, SuspectCases
--- a/whinrack/edge/_sources.py
+++ b/whinrack/edge/_kind_follower.py
@@ -8,9 +8,9 @@
 from returns.result import Failure, Result, Success
 
 from whinrack.clock import steady
-from whinrack.edge._contact import StoreContact
 from whinrack.edge._options import HostPort
 from whinrack.edge._relay import KindRelay
+from whinrack.edge._store_availability import StoreContact
 from whinrack.exceptions import PlatformFailure, PlatformUnavailable, ReplyLost
 from whinrack.observability import Event, log_event
 from whinrack.store import (
--- a/whinrack/edge/_knowledge.py
+++ b/whinrack/edge/_knowledge.py
@@ -11,13 +11,13 @@
 
 from whinrack.clock import steady
 from whinrack.dispatch import CurrentConfiguration, TargetRecord, TargetRegistry, TargetsView
-from whinrack.edge._contact import StoreContact
-from whinrack.edge._lost_entries import LostEntries
+from whinrack.edge._kind_follower import PROBE_SECONDS, KindFollower, SourcePlan
+from whinrack.edge._knowledge_exchange import SharedKnowledge, fetch_knowledge
 from whinrack.edge._options import HostPort
 from whinrack.edge._readers import ConfigurationReader, TargetReader, shown
 from whinrack.edge._relay import WatchRelay
-from whinrack.edge._sharing import SharedKnowledge, fetch_knowledge
-from whinrack.edge._sources import PROBE_SECONDS, KindFollower, SourcePlan
+from whinrack.edge._restore_reconciliation import LostEntries
+from whinrack.edge._store_availability import StoreContact
 from whinrack.exceptions import InvalidObject
 from whinrack.gossip import GoneTarget
 from whinrack.observability import Event, log_event
--- a/whinrack/edge/_membership.py
+++ b/whinrack/edge/_membership.py
@@ -11,7 +11,7 @@
 from whinrack.budgets import WallClockReading
 from whinrack.clock import steady
 from whinrack.dispatch import CurrentConfiguration, TargetRegistry
-from whinrack.edge._entries import choose_entries, is_crowded
+from whinrack.edge._entry_selection import choose_entries, is_crowded
 from whinrack.edge._load_sharing import LoadSharing
 from whinrack.edge._membership_host import MembershipHost
 from whinrack.edge._missing_peers import MissingPeers
--- a/whinrack/edge/_operator_answers.py
+++ b/whinrack/edge/_operator_endpoints.py
@@ -2,11 +2,11 @@
 
 import msgspec
 
-from whinrack.edge._answers import SmallAnswers
+from whinrack.edge._endpoints import AuxiliaryEndpoints
 from whinrack.http1 import Exchange, Headers
 from whinrack.quarantine import Quarantine, listed
 
-__all__ = ["OperatorAnswers"]
+__all__ = ["OperatorEndpoints"]
 
 _OK = 200
 _NOT_FOUND = 404
@@ -14,7 +14,7 @@
 _JSON: Headers = [(b"content-type", b"application/json")]
 
 
-class OperatorAnswers:
+class OperatorEndpoints:
     """Answers at the metrics address.
 
     ``GET /quarantine`` lists, ``DELETE /quarantine/FINGERPRINT`` lets a request through again in
@@ -22,19 +22,19 @@
 
     Parameters
     ----------
-    figures : SmallAnswers
+    endpoints : SmallAnswers
     quarantine : Quarantine
     """
 
-    def __init__(self, figures: SmallAnswers, quarantine: Quarantine):
-        self.figures = figures
+    def __init__(self, endpoints: AuxiliaryEndpoints, quarantine: Quarantine):
+        self.endpoints = endpoints
         self.quarantine = quarantine
 
-    def answer(self, exchange: Exchange) -> None:
+    def handle(self, exchange: Exchange) -> None:
         """Answer one question."""
         path, _, fingerprint = exchange.head.target.partition(_QUARANTINE_PATH)
         if path or not exchange.head.target.startswith(_QUARANTINE_PATH):
-            self.figures.figures(exchange)
+            self.endpoints.handle_metrics(exchange)
         elif exchange.head.method == b"DELETE":
             lifted = self.quarantine.lift(fingerprint.strip(b"/").decode("latin-1"))
             exchange.respond(_OK if lifted else _NOT_FOUND, [], b"")
--- a/whinrack/edge/_relay.py
+++ b/whinrack/edge/_relay.py
@@ -14,8 +14,8 @@
 from returns.result import Failure, Result, Success
 
 from whinrack.clock import steady
+from whinrack.edge._knowledge_exchange import ask_peer, encode_answer
 from whinrack.edge._options import HostPort
-from whinrack.edge._sharing import ask_peer, encode_answer
 from whinrack.exceptions import PlatformFailure, PlatformUnavailable
 from whinrack.http1 import ConnectionPool, Exchange, Headers
 from whinrack.store import ObjectStore, Snapshot, StoredObject, WatchBatch
--- a/whinrack/edge/_suspects.py
+++ b/whinrack/edge/_suspects.py
@@ -8,8 +8,8 @@
 
 from whinrack.base import rendezvous
 from whinrack.clock import steady
-from whinrack.edge._contact import StoreContact
 from whinrack.edge._options import HostPort
+from whinrack.edge._store_availability import StoreContact
 from whinrack.gossip import GossipLink, PeerTable, SuspectCases
 from whinrack.observability import Event, Metrics, log_event
 from whinrack.quarantine import Case, CaseArchive, Quarantine, QuarantineHost
--- a/whinrack/edge/_feeding.py
+++ b/whinrack/edge/_upstream_selection.py
@@ -7,10 +7,10 @@
 
 from whinrack.base import rendezvous
 from whinrack.clock import steady
-from whinrack.edge._contact import StoreContact
+from whinrack.edge._kind_follower import FollowedSource, SourcePlan
 from whinrack.edge._options import HostPort
 from whinrack.edge._relay import PeerFeed
-from whinrack.edge._sources import FollowedSource, SourcePlan
+from whinrack.edge._store_availability import StoreContact
 from whinrack.gossip import PeerState, PeerTable, prefer_strong
 from whinrack.http1 import ConnectionPool
 from whinrack.store import ObjectStore
--- a/whinrack/edge/tests/test_entries.py
+++ b/whinrack/edge/tests/test_entries.py
@@ -3,8 +3,8 @@
 import random
 
 from whinrack.budgets import DemandEstimate
-from whinrack.edge._entries import choose_entries, is_crowded, serves_callers
-from whinrack.edge._feeding import choose_feeders
+from whinrack.edge._entry_selection import choose_entries, is_crowded, serves_callers
+from whinrack.edge._upstream_selection import choose_feeders
 from whinrack.gossip import PeerAddress, PeerState
 
 
--- a/whinrack/edge/tests/test_feeding.py
+++ b/whinrack/edge/tests/test_feeding.py
@@ -5,8 +5,8 @@
 
 from standins.memory_store import MemoryStore
 from whinrack.clock import steady
-from whinrack.edge._contact import StoreContact
-from whinrack.edge._feeding import FeedPlan
+from whinrack.edge._store_availability import StoreContact
+from whinrack.edge._upstream_selection import FeedPlan
 from whinrack.gossip import PeerAddress, PeerState
 from whinrack.gossip._peers import PeerView
 
--- a/whinrack/edge/tests/test_halls.py
+++ b/whinrack/edge/tests/test_halls.py
@@ -5,10 +5,10 @@
 from standins.memory_store import MemoryStore
 from whinrack.dispatch import HallStatus, TargetRegistry
 from whinrack.edge import HallReader
-from whinrack.edge._contact import StoreContact
-from whinrack.edge._halls import HallKnowledge
+from whinrack.edge._emptied_halls import HallKnowledge
+from whinrack.edge._kind_follower import SourcePlan
 from whinrack.edge._relay import KindRelay
-from whinrack.edge._sources import SourcePlan
+from whinrack.edge._store_availability import StoreContact
 from whinrack.exceptions import InvalidObject
 from whinrack.store import Snapshot, StoredObject, compose_revision
 
--- a/whinrack/edge/tests/test_knowledge.py
+++ b/whinrack/edge/tests/test_knowledge.py
@@ -9,11 +9,11 @@
 
 from standins.memory_store import MemoryStore
 from whinrack.dispatch import Configuration, CurrentConfiguration, TargetRecord, TargetRegistry
-from whinrack.edge._contact import StoreContact
+from whinrack.edge._kind_follower import FollowedSource, SourcePlan
 from whinrack.edge._knowledge import StoreKnowledge
+from whinrack.edge._knowledge_exchange import KnowledgeServer, SharedKnowledge, fetch_knowledge
 from whinrack.edge._readers import ConfigurationReader, TargetReader
-from whinrack.edge._sharing import KnowledgeServer, SharedKnowledge, fetch_knowledge
-from whinrack.edge._sources import FollowedSource, SourcePlan
+from whinrack.edge._store_availability import StoreContact
 from whinrack.exceptions import PlatformUnavailable
 from whinrack.gossip import GoneTarget
 from whinrack.http1 import ServerLimits
--- a/whinrack/edge/tests/test_relay.py
+++ b/whinrack/edge/tests/test_relay.py
@@ -5,8 +5,8 @@
 import pytest
 from returns.result import Failure
 
+from whinrack.edge._knowledge_exchange import KnowledgeServer, SharedKnowledge
 from whinrack.edge._relay import KindRelay, PeerFeed, WatchRelay
-from whinrack.edge._sharing import KnowledgeServer, SharedKnowledge
 from whinrack.http1 import ConnectionPool
 from whinrack.store import StoredObject
 
--- a/whinrack/edge/tests/test_reloading.py
+++ b/whinrack/edge/tests/test_reloading.py
@@ -3,7 +3,7 @@
 import msgspec
 
 from whinrack.edge import EdgeOptions
-from whinrack.edge._reloading import SettingsFollower
+from whinrack.edge._settings_follower import SettingsFollower
 from whinrack.exceptions import InvalidSettings
 
 OPTIONS = EdgeOptions(
--- a/whinrack/edge/tests/test_store_tasks.py
+++ b/whinrack/edge/tests/test_store_tasks.py
@@ -5,9 +5,9 @@
 
 from standins.memory_store import MemoryStore
 from whinrack.clock import steady
-from whinrack.edge._contact import StoreContact
+from whinrack.edge._kind_follower import FollowedSource, KindFollower, SourcePlan
 from whinrack.edge._relay import KindRelay
-from whinrack.edge._sources import FollowedSource, KindFollower, SourcePlan
+from whinrack.edge._store_availability import StoreContact
 from whinrack.exceptions import PlatformUnavailable
 from whinrack.store import StoredObject, WatchBatch, lost_reply
 
--- a/whinrack/edge/tests/test_suspects.py
+++ b/whinrack/edge/tests/test_suspects.py
@@ -6,7 +6,7 @@
 from standins.memory_store import MemoryStore
 from whinrack.base import rendezvous
 from whinrack.clock import steady
-from whinrack.edge._contact import StoreContact
+from whinrack.edge._store_availability import StoreContact
 from whinrack.edge._suspects import SuspectExchange
 from whinrack.gossip import Heartbeat, PeerAddress, PeerState, PeerTable
 from whinrack.observability import Metrics
