--- a/benchmarks/bench_capacity.py
+++ b/benchmarks/bench_capacity.py
@@ -32,7 +32,7 @@
 from whinrack.peers._codec import member_from_pb, member_to_pb, object_to_pb, order_to_pb
 from whinrack.peers._pb import peer_pb2 as pb
 from whinrack.requests import RequestMemory, RunState, body_digest
-from whinrack.routing import EjectAlone, PickQuery, PoolState, TargetView
+from whinrack.routing import LocalEjection, PickQuery, PoolState, TargetView
 from whinrack.store import StoredObject
 
 
@@ -328,11 +328,11 @@
         pool = PoolState("p", TargetPool(models=("m",)), seed=1)
         spec = Target(pool="p", address="127.0.0.1:1", max_concurrency=16)
         for number in range(count):
-            pool.add(TargetView(f"t{number}", spec, EjectAlone()))
+            pool.add(TargetView(f"t{number}", spec, LocalEjection()))
         query = PickQuery(request_class=RequestClass.INTERACTIVE)
 
         def pick(pool=pool, query=query):
-            pool.pick(query, 0.0).finished()
+            pool.pick(query, 0.0).end_request()
 
         picks.append((count, 1e6 * seconds_of(pick, 200)))
         facts.append((count, 1e6 * seconds_of(lambda pool=pool: pool.facts(0.0), 200)))
--- a/benchmarks/bench_ejection.py
+++ b/benchmarks/bench_ejection.py
@@ -13,7 +13,7 @@
 import random
 
 from benchmarks.report import report, section
-from whinrack.routing import EjectAfterVote, EjectAlone
+from whinrack.routing import LocalEjection, MajorityEjection
 
 INSTANCES = 8
 TARGETS = 10
@@ -41,16 +41,16 @@
         self.wrong = 0
 
     def _policy(self, instance, target):
-        alone = EjectAlone()
+        alone = LocalEjection()
         if not self.voting:
             return alone
 
         def ask(now):
             self.votes += INSTANCES - 1
-            peers = [self.policies[i, target].alone for i in range(INSTANCES) if i != instance]
-            return sum(peer.ejected(now) for peer in peers), len(peers)
+            peers = [self.policies[i, target].local for i in range(INSTANCES) if i != instance]
+            return sum(peer.is_ejected(now) for peer in peers), len(peers)
 
-        return EjectAfterVote(alone, ask)
+        return MajorityEjection(alone, ask)
 
     def reachable(self, instance, target):
         """Whether the instance can reach the target now."""
@@ -75,7 +75,7 @@
             if self.random.random() < RATE * STEP:
                 self._send(instance)
         self.wrong += sum(
-            policy.ejected(self.now) and self.reachable(*place)
+            policy.is_ejected(self.now) and self.reachable(*place)
             for place, policy in self.policies.items()
         )
 
@@ -83,7 +83,7 @@
         self.noticed += [[self.now, instance, target, None] for instance in instances]
 
     def _send(self, instance):
-        usable = [t for t in range(TARGETS) if not self.policies[instance, t].ejected(self.now)]
+        usable = [t for t in range(TARGETS) if not self.policies[instance, t].is_ejected(self.now)]
         if not usable:
             self.unserved += 1
             return
@@ -91,11 +91,11 @@
         self.sent += 1
         policy = self.policies[instance, target]
         if self.reachable(instance, target) and self.random.random() > NOISE:
-            policy.succeeded(self.now)
+            policy.record_success(self.now)
             return
         self.failed += 1
-        policy.failed(self.now)
-        if policy.ejected(self.now):
+        policy.record_failure(self.now)
+        if policy.is_ejected(self.now):
             for row in self.noticed:
                 if row[1:3] == [instance, target] and row[3] is None:
                     row[3] = self.now
--- a/tests/sessions.py
+++ b/tests/sessions.py
@@ -11,7 +11,7 @@
 from whinrack.feed import ConfigStore
 from whinrack.objects import RequestClass, Target, TargetPool, Weighting, Workspace
 from whinrack.requests import RequestIdentity, RequestMemory, RunState, body_digest
-from whinrack.routing import EjectAlone, PickQuery, PoolState, TargetView, Waiter
+from whinrack.routing import LocalEjection, PickQuery, PoolState, QueuedRequest, TargetView
 from whinrack.store import StoredObject
 
 __all__ = ["SESSIONS"]
@@ -192,7 +192,7 @@
     pool = PoolState("p", TargetPool(models=("m",), queue_limit=3), seed=7)
     for name in ("t1", "t2", "t3"):
         spec = Target(pool="p", address="127.0.0.1:1", max_concurrency=2)
-        pool.add(TargetView(name, spec, EjectAlone(failures=2, first=5.0)))
+        pool.add(TargetView(name, spec, LocalEjection(failure_threshold=2, initial_seconds=5.0)))
     pool.queue.service_time = 2.0
     placed = []
 
@@ -204,28 +204,30 @@
 
     def queue(request_class, patience):
         now = session.env.now
-        waiter = Waiter(request_class, now + patience, lambda: session.say("queue", "wakes one"))
-        result = pool.queue.join(waiter, pool.slots(now), now)
+        waiter = QueuedRequest(
+            request_class, now + patience, lambda: session.say("queue", "wakes one")
+        )
+        result = pool.queue.enqueue(waiter, pool.slots(now), now)
         text = "waits" if _good(result) else described(result)
         session.say(str(request_class), f"{text}; {len(pool.queue)} wait")
 
     def fail(name):
-        pool.targets[name].failed(session.env.now)
-        out = pool.targets[name].ejection.ejected(session.env.now)
+        pool.targets[name].record_failure(session.env.now)
+        out = pool.targets[name].ejection.is_ejected(session.env.now)
         session.say(name, f"fails, set aside: {out}")
 
     def leave(name):
-        pool.targets[name].instance_leaving = True
+        pool.targets[name].is_instance_leaving = True
         session.say(name, "is leaving")
 
     def busy(name):
-        pool.targets[name].overloaded()
-        session.say(name, f"says it is busy, limit {pool.targets[name].limit:.2f}")
+        pool.targets[name].record_overload()
+        session.say(name, f"says it is busy, limit {pool.targets[name].concurrency_limit:.2f}")
 
     def serve():
-        waiter = pool.queue.first(session.env.now)
+        waiter = pool.queue.peek(session.env.now)
         if waiter is not None:
-            pool.queue.leave(waiter)
+            pool.queue.remove(waiter)
             session.say(str(waiter.request_class), f"is served; {len(pool.queue)} wait")
 
     for moment in (1, 1, 1, 1):
--- a/whinrack/dispatch/_attempts.py
+++ b/whinrack/dispatch/_attempts.py
@@ -213,7 +213,7 @@
             if head.status < _SERVER_ERROR:
                 self.guard.ended_well(run.name)
         except AnswerCut as failure:
-            state.ejection.failed(steady())
+            state.ejection.record_failure(steady())
             self.target_ends.cut(state, run.name)
             raise AttemptFailed(failure, counts=True) from failure
         except AttemptTimeout as failure:
@@ -263,7 +263,7 @@
         """Count a target that was silent for long as failing; short waits tell nothing."""
         now = steady()
         if not answered and now - began >= patience:
-            state.ejection.failed(now)
+            state.ejection.record_failure(now)
 
     def _send(self, run: Run, state: TargetState, connection: TargetConnection) -> None:
         request = run.request
--- a/whinrack/dispatch/_target_state.py
+++ b/whinrack/dispatch/_target_state.py
@@ -4,7 +4,7 @@
 
 from whinrack.dispatch._cold_state import ColdState
 from whinrack.dispatch._values import ColdStart, TargetRecord
-from whinrack.ejection import EjectAlone
+from whinrack.ejection import LocalEjection
 
 __all__ = ["Reading", "TargetState"]
 
@@ -25,7 +25,7 @@
         # A later start took its place before it had said that it leaves.
         self.replaced = False
         self.busy_until = float("-inf")
-        self.ejection = EjectAlone(failures=3, first=1.0, longest=4.0)
+        self.ejection = LocalEjection(failure_threshold=3, initial_seconds=1.0, max_seconds=4.0)
         self.cold_state = ColdState()
 
     @property
@@ -40,16 +40,16 @@
 
     def takes_work(self, now: float) -> bool:
         """Whether a request may be sent to it."""
-        return not self.leaving and not self.ejection.ejected(now)
+        return not self.leaving and not self.ejection.is_ejected(now)
 
     def unreachable(self, now: float) -> None:
         """Learn that no connection could be made."""
-        self.ejection.unreachable(now)
+        self.ejection.record_unreachable(now)
         self.cold_state.unreachable(now)
 
     def answered(self, now: float) -> None:
         """Learn that it answers."""
-        self.ejection.succeeded(now)
+        self.ejection.record_success(now)
         self.cold_state.answered(now)
 
     def is_cold(self, cold_start: ColdStart | None, now: float) -> bool:
--- a/whinrack/dispatch/tests/test_decisions.py
+++ b/whinrack/dispatch/tests/test_decisions.py
@@ -181,7 +181,7 @@
     targets = registry("a", "b")
     (failing,) = [s for s in targets.targets_in_pool("p") if s.record.incarnation == "a"]
     for _ in range(3):
-        failing.ejection.failed(0.0)
+        failing.ejection.record_failure(0.0)
     assert {choose(targets, now=0.5) for _ in range(20)} == {"b"}
     assert {choose(targets, now=1.5) for _ in range(40)} == {"a", "b"}
 
@@ -189,7 +189,7 @@
 def test_a_target_that_can_not_be_reached_is_set_aside_at_once():
     targets = registry("a", "b")
     (gone,) = [s for s in targets.targets_in_pool("p") if s.record.incarnation == "a"]
-    gone.ejection.unreachable(0.0)
+    gone.ejection.record_unreachable(0.0)
     assert {choose(targets, now=0.1) for _ in range(9)} == {"b"}
     assert not targets.has_other("p", {"b"}, 0.1)
     assert targets.has_other("p", {"a"}, 0.1)
@@ -198,7 +198,7 @@
 def test_a_target_that_is_set_aside_is_better_than_none():
     targets = registry("a")
     for _ in range(3):
-        targets.targets_in_pool("p")[0].ejection.failed(0.0)
+        targets.targets_in_pool("p")[0].ejection.record_failure(0.0)
     assert choose(targets, now=0.1) == "a"
 
 
--- a/whinrack/dispatch/tests/test_starts.py
+++ b/whinrack/dispatch/tests/test_starts.py
@@ -64,7 +64,7 @@
     registry.put(record(5))
     registry.put(record(5, name="other", port=2))
     (state, _) = registry.targets_in_pool("p")
-    state.ejection.unreachable(NOW)
+    state.ejection.record_unreachable(NOW)
     assert chosen(registry, tried=["other@5"]) == 5
     registry.put(record(6))
     (current,) = [one for one in registry.targets_in_pool("p") if one.record.incarnation == "t"]
--- a/whinrack/ejection/__init__.py
+++ b/whinrack/ejection/__init__.py
@@ -1,5 +1,5 @@
 """When a target that fails from here is set aside."""
 
-from whinrack.ejection._policies import EjectAfterVote, EjectAlone, EjectionPolicy
+from whinrack.ejection._policies import EjectionPolicy, LocalEjection, MajorityEjection
 
-__all__ = ["EjectAfterVote", "EjectAlone", "EjectionPolicy"]
+__all__ = ["EjectionPolicy", "LocalEjection", "MajorityEjection"]
--- a/whinrack/routing/__init__.py
+++ b/whinrack/routing/__init__.py
@@ -1,6 +1,6 @@
 """Routing: programs, choice of targets, queues, limits and retries."""
 
-from whinrack.ejection import EjectAfterVote, EjectAlone, EjectionPolicy
+from whinrack.ejection import EjectionPolicy, LocalEjection, MajorityEjection
 from whinrack.routing._pickers import AffinityPicker, Picker, RandomPicker, TwoChoicesPicker
 from whinrack.routing._pools import PickQuery, PoolState
 from whinrack.routing._program import (
@@ -11,21 +11,22 @@
     Spread,
     default_decision,
 )
-from whinrack.routing._queue import PoolQueue, Waiter
+from whinrack.routing._queue import PoolQueue, QueuedRequest
 from whinrack.routing._retries import RetryBudget
 from whinrack.routing._targets import LoadReport, TargetView
 
 __all__ = [
     "AffinityPicker",
-    "EjectAfterVote",
-    "EjectAlone",
     "EjectionPolicy",
     "LoadReport",
+    "LocalEjection",
+    "MajorityEjection",
     "PickQuery",
     "Picker",
     "PoolFacts",
     "PoolQueue",
     "PoolState",
+    "QueuedRequest",
     "RandomPicker",
     "RequestFacts",
     "RetryBudget",
@@ -34,6 +35,5 @@
     "Spread",
     "TargetView",
     "TwoChoicesPicker",
-    "Waiter",
     "default_decision",
 ]
--- a/whinrack/routing/_pools.py
+++ b/whinrack/routing/_pools.py
@@ -83,7 +83,9 @@
 
     def slots(self, now: float) -> int:
         """Return how many requests the pool's targets run at once."""
-        return math.floor(sum(t.limit for t in self.targets.values() if t.takes_work(now)))
+        return math.floor(
+            sum(t.concurrency_limit for t in self.targets.values() if t.takes_work(now))
+        )
 
     def facts(self, now: float) -> PoolFacts:
         """Return what routing programs see, at most some moments old."""
@@ -95,7 +97,7 @@
 
     def _count(self, now: float) -> PoolFacts:
         ready = [target for target in self.targets.values() if target.takes_work(now)]
-        slots = sum(target.limit for target in ready)
+        slots = sum(target.concurrency_limit for target in ready)
         load = sum(target.load(now) for target in ready)
         busy = round(load / slots, 3) if slots else 1.0
         return PoolFacts(targets=len(ready), queued=len(self.queue), busy=busy)
@@ -118,7 +120,7 @@
         picker = self._pickers[query.spread]
         target = picker.pick(self._candidates(query, now), query.affinity_key, now)
         if target is not None:
-            target.started()
+            target.begin_request()
         return target
 
     def _candidates(self, query: PickQuery, now: float) -> Sequence[TargetView]:
@@ -136,7 +138,7 @@
         """Whether deferrable work leaves room for interactive work to start at once."""
         ready = [target for target in self._ordered if target.takes_work(now)]
         load = sum(target.load(now) for target in ready)
-        slots = sum(target.limit for target in ready)
+        slots = sum(target.concurrency_limit for target in ready)
         return load < max(1.0, slots * _DEFERRABLE_SHARE)
 
     def _order(self) -> None:
--- a/whinrack/routing/_queue.py
+++ b/whinrack/routing/_queue.py
@@ -8,7 +8,7 @@
 from whinrack.exceptions import DeadlineUnreachable, QueueFull, Refusal
 from whinrack.objects import RequestClass
 
-__all__ = ["PoolQueue", "Waiter"]
+__all__ = ["PoolQueue", "QueuedRequest"]
 
 _RANK = {RequestClass.ALERT: 0, RequestClass.INTERACTIVE: 1, RequestClass.DEFERRABLE: 2}
 _FIRST_SERVICE_TIME = 0.5
@@ -17,7 +17,7 @@
 _URGENT_SERVICE_TIMES = 4.0
 
 
-class Waiter(msgspec.Struct, eq=False):
+class QueuedRequest(msgspec.Struct, eq=False):
     """A request in the queue.
 
     Attributes
@@ -51,13 +51,15 @@
     def __init__(self, limit: int):
         self.limit = limit
         self.service_time = _FIRST_SERVICE_TIME
-        self._waiters: list[Waiter] = []
+        self._waiters: list[QueuedRequest] = []
         self._count = 0
 
     def __len__(self) -> int:
         return len(self._waiters)
 
-    def join(self, waiter: Waiter, slots: int, now: float) -> Result[Waiter, Refusal]:
+    def enqueue(
+        self, waiter: QueuedRequest, slots: int, now: float
+    ) -> Result[QueuedRequest, Refusal]:
         """Queue a request, or refuse it at once if it can't be met.
 
         Parameters
@@ -86,12 +88,12 @@
         self._waiters.append(waiter)
         return Success(waiter)
 
-    def leave(self, waiter: Waiter) -> None:
+    def remove(self, waiter: QueuedRequest) -> None:
         """Take a request out of the queue; does nothing if it isn't in it."""
         if waiter in self._waiters:
             self._waiters.remove(waiter)
 
-    def first(self, now: float) -> Waiter | None:
+    def peek(self, now: float) -> QueuedRequest | None:
         """Return who is served next."""
         return min(self._waiters, key=lambda waiter: self._order(waiter, now), default=None)
 
@@ -103,7 +105,7 @@
         """Estimate the seconds until a request with `ahead` before it is started."""
         return (ahead + 1) * self.service_time / max(1, slots)
 
-    def _make_room(self, newcomer: Waiter, slots: int, now: float) -> bool:
+    def _make_room(self, newcomer: QueuedRequest, slots: int, now: float) -> bool:
         """Refuse the last deferrable request in favour of a more urgent one."""
         last = max(self._waiters, key=lambda waiter: self._order(waiter, now))
         if self._rank(last, now) <= _class_rank(newcomer):
@@ -116,10 +118,10 @@
         last.wake()
         return True
 
-    def _order(self, waiter: Waiter, now: float) -> tuple:
+    def _order(self, waiter: QueuedRequest, now: float) -> tuple:
         return (self._rank(waiter, now), waiter.deadline, waiter.number)
 
-    def _rank(self, waiter: Waiter, now: float) -> int:
+    def _rank(self, waiter: QueuedRequest, now: float) -> int:
         rank = _class_rank(waiter)
         urgent = waiter.deadline - now < _URGENT_SERVICE_TIMES * self.service_time
         if rank == _RANK[RequestClass.DEFERRABLE] and urgent:
@@ -127,5 +129,5 @@
         return rank
 
 
-def _class_rank(waiter: Waiter) -> int:
+def _class_rank(waiter: QueuedRequest) -> int:
     return _RANK[waiter.request_class]
--- a/whinrack/routing/_targets.py
+++ b/whinrack/routing/_targets.py
@@ -52,9 +52,9 @@
         self.ejection = ejection
         # Learnt at run time.
         self.in_flight = 0
-        self.limit = float(spec.max_concurrency)
+        self.concurrency_limit = float(spec.max_concurrency)
         self.report: LoadReport | None = None
-        self.instance_leaving = False
+        self.is_instance_leaving = False
         self.reports_leaving = False
         self.backoff_until = float("-inf")
 
@@ -62,17 +62,17 @@
     def leaving(self) -> bool:
         """Whether any source says that the target is leaving."""
         declared = self.spec.state is TargetState.LEAVING
-        return declared or self.instance_leaving or self.reports_leaving
+        return declared or self.is_instance_leaving or self.reports_leaving
 
     def update(self, spec: Target) -> None:
         """Take in a newer declaration."""
         if spec.max_concurrency != self.spec.max_concurrency:
-            self.limit = float(spec.max_concurrency)
+            self.concurrency_limit = float(spec.max_concurrency)
         self.spec = spec
 
     def takes_work(self, now: float) -> bool:
         """Whether new work may go to the target at all."""
-        return not self.leaving and now >= self.backoff_until and not self.ejection.ejected(now)
+        return not self.leaving and now >= self.backoff_until and not self.ejection.is_ejected(now)
 
     def load(self, now: float) -> float:
         """Estimate the requests at the target, from all instances.
@@ -88,30 +88,34 @@
 
     def has_room(self, now: float) -> bool:
         """Whether one more request fits under the limit."""
-        return self.takes_work(now) and self.load(now) < self.limit
+        return self.takes_work(now) and self.load(now) < self.concurrency_limit
 
-    def started(self) -> None:
+    def begin_request(self) -> None:
         """Count a request that is sent to the target."""
         self.in_flight += 1
 
-    def finished(self) -> None:
+    def end_request(self) -> None:
         """Count a request that ended, in whatever way."""
         self.in_flight -= 1
 
-    def succeeded(self, now: float) -> None:
+    def record_success(self, now: float) -> None:
         """Learn from an answer."""
-        self.ejection.succeeded(now)
+        self.ejection.record_success(now)
         most = float(self.spec.max_concurrency)
-        self.limit = min(most, self.limit + _INCREASE / self.limit)
+        self.concurrency_limit = min(
+            most, self.concurrency_limit + _INCREASE / self.concurrency_limit
+        )
 
     def back_off(self, seconds: float, now: float) -> None:
         """Learn that the target takes nothing from this instance for a while."""
         self.backoff_until = max(self.backoff_until, now + min(seconds, LONGEST_BACKOFF_SECONDS))
 
-    def overloaded(self) -> None:
+    def record_overload(self) -> None:
         """Learn from the target's word that it is busy."""
-        self.limit = max(_LEAST_LIMIT, min(self.limit, self.in_flight + 1.0) * _DECREASE)
+        self.concurrency_limit = max(
+            _LEAST_LIMIT, min(self.concurrency_limit, self.in_flight + 1.0) * _DECREASE
+        )
 
-    def failed(self, now: float) -> None:
+    def record_failure(self, now: float) -> None:
         """Learn from a connection that failed or broke."""
-        self.ejection.failed(now)
+        self.ejection.record_failure(now)
--- a/whinrack/routing/tests/test_routing.py
+++ b/whinrack/routing/tests/test_routing.py
@@ -7,20 +7,20 @@
 from whinrack.objects import RequestClass, Target, TargetPool, TargetState
 from whinrack.routing import (
     AffinityPicker,
-    EjectAfterVote,
-    EjectAlone,
     LoadReport,
+    LocalEjection,
+    MajorityEjection,
     PickQuery,
     PoolFacts,
     PoolQueue,
     PoolState,
+    QueuedRequest,
     RandomPicker,
     RequestFacts,
     RoutingProgram,
     Spread,
     TargetView,
     TwoChoicesPicker,
-    Waiter,
 )
 
 FACTS = RequestFacts(workspace="w", request_class=RequestClass.DEFERRABLE, prompt_bytes=10)
@@ -30,7 +30,7 @@
 
 def view(name, limit=4, state=TargetState.ACTIVE):
     spec = Target(pool="p", address="127.0.0.1:1", max_concurrency=limit, state=state)
-    return TargetView(name, spec, EjectAlone(failures=2))
+    return TargetView(name, spec, LocalEjection(failure_threshold=2))
 
 
 def pool(count=2, limit=4):
@@ -41,7 +41,7 @@
 
 
 def waiter(request_class=RequestClass.INTERACTIVE, deadline=100.0):
-    return Waiter(request_class, deadline, lambda: None)
+    return QueuedRequest(request_class, deadline, lambda: None)
 
 
 # --- programs ------------------------------------------------------------------------
@@ -89,7 +89,7 @@
 def test_own_requests_count_at_once_and_old_reports_fade():
     target = view("t")
     target.report = LoadReport(running=4, waiting=0, at=0.0, own=0)
-    target.started()
+    target.begin_request()
     assert target.load(0.0) == 5.0
     assert target.load(2.0) == 3.0
 
@@ -97,7 +97,7 @@
 def test_a_leaving_target_takes_nothing_whoever_says_so():
     declared = view("t", state=TargetState.LEAVING)
     listed = view("u")
-    listed.instance_leaving = True
+    listed.is_instance_leaving = True
     assert not declared.takes_work(0.0)
     assert not listed.takes_work(0.0)
 
@@ -115,12 +115,12 @@
 def test_limit_falls_when_the_target_is_busy_and_recovers():
     target = view("t", limit=8)
     for _ in range(4):
-        target.started()
-    target.overloaded()
-    assert target.limit == pytest.approx(3.5)
+        target.begin_request()
+    target.record_overload()
+    assert target.concurrency_limit == pytest.approx(3.5)
     for _ in range(100):
-        target.succeeded(0.0)
-    assert target.limit == 8.0
+        target.record_success(0.0)
+    assert target.concurrency_limit == 8.0
 
 
 @pytest.mark.parametrize(
@@ -137,7 +137,7 @@
     for picker in (RandomPicker(1), TwoChoicesPicker(1)):
         targets = [view(f"t{index}", limit=100) for index in range(10)]
         for _ in range(500):
-            picker.pick(targets, "", 0.0).started()
+            picker.pick(targets, "", 0.0).begin_request()
         loads = [target.in_flight for target in targets]
         spreads[type(picker)] = max(loads) - min(loads)
     assert spreads[TwoChoicesPicker] * 3 < spreads[RandomPicker]
@@ -149,7 +149,7 @@
     first = picker.pick(targets, "prefix", 0.0)
     assert picker.pick(targets, "prefix", 0.0) is first
     for _ in range(50):
-        first.started()
+        first.begin_request()
     assert picker.pick(targets, "prefix", 0.0) is not first
 
 
@@ -157,21 +157,21 @@
 
 
 def test_ejection_lasts_longer_each_time_and_ends_with_an_answer():
-    policy = EjectAlone(failures=2, first=1.0)
+    policy = LocalEjection(failure_threshold=2, initial_seconds=1.0)
     for now in (0.0, 0.1, 1.2):
-        policy.failed(now)
-    assert policy.ejected(3.1)
-    assert not policy.ejected(3.3)
-    policy.succeeded(3.3)
-    policy.failed(3.4)
-    assert not policy.ejected(3.4)
+        policy.record_failure(now)
+    assert policy.is_ejected(3.1)
+    assert not policy.is_ejected(3.3)
+    policy.record_success(3.3)
+    policy.record_failure(3.4)
+    assert not policy.is_ejected(3.4)
 
 
 @pytest.mark.parametrize(("failing", "ejected"), [(0, False), (3, True)])
 def test_a_vote_ejects_only_with_most_peers(failing, ejected):
-    policy = EjectAfterVote(EjectAlone(failures=1), lambda now: (failing, 4))
-    policy.failed(0.0)
-    assert policy.ejected(0.1) is ejected
+    policy = MajorityEjection(LocalEjection(failure_threshold=1), lambda now: (failing, 4))
+    policy.record_failure(0.0)
+    assert policy.is_ejected(0.1) is ejected
 
 
 # --- queues --------------------------------------------------------------------------
@@ -184,24 +184,24 @@
     later = waiter(RequestClass.INTERACTIVE, deadline=60.0)
     alert = waiter(RequestClass.ALERT, deadline=90.0)
     for one in (late, later, soon, alert):
-        queue.join(one, slots=4, now=0.0)
+        queue.enqueue(one, slots=4, now=0.0)
     order = []
     while len(queue):
-        first = queue.first(0.0)
+        first = queue.peek(0.0)
         order.append(first)
-        queue.leave(first)
+        queue.remove(first)
     assert order == [alert, soon, later, late]
-    queue.join(late, slots=4, now=0.0)
-    queue.join(waiter(deadline=150.0), slots=4, now=99.0)
-    assert queue.first(99.0) is late
+    queue.enqueue(late, slots=4, now=0.0)
+    queue.enqueue(waiter(deadline=150.0), slots=4, now=99.0)
+    assert queue.peek(99.0) is late
 
 
 def test_what_cannot_be_met_is_refused_at_once_with_when_to_come_back():
     queue = PoolQueue(limit=100)
     queue.service_time = 2.0
     for _ in range(5):
-        assert isinstance(queue.join(waiter(), slots=1, now=0.0), Success)
-    refusal = queue.join(waiter(deadline=5.0), slots=1, now=0.0).failure()
+        assert isinstance(queue.enqueue(waiter(), slots=1, now=0.0), Success)
+    refusal = queue.enqueue(waiter(deadline=5.0), slots=1, now=0.0).failure()
     assert isinstance(refusal, DeadlineUnreachable)
     assert refusal.retry_after == pytest.approx(12.0)
 
@@ -209,11 +209,11 @@
 def test_a_full_queue_sends_deferrable_work_away_for_urgent_work():
     queue = PoolQueue(limit=2)
     woken = []
-    last = Waiter(RequestClass.DEFERRABLE, 100.0, lambda: woken.append(1))
-    queue.join(waiter(RequestClass.DEFERRABLE, 90.0), slots=8, now=0.0)
-    queue.join(last, slots=8, now=0.0)
-    assert isinstance(queue.join(waiter(RequestClass.DEFERRABLE), slots=8, now=0.0), Failure)
-    assert isinstance(queue.join(waiter(), slots=8, now=0.0), Success)
+    last = QueuedRequest(RequestClass.DEFERRABLE, 100.0, lambda: woken.append(1))
+    queue.enqueue(waiter(RequestClass.DEFERRABLE, 90.0), slots=8, now=0.0)
+    queue.enqueue(last, slots=8, now=0.0)
+    assert isinstance(queue.enqueue(waiter(RequestClass.DEFERRABLE), slots=8, now=0.0), Failure)
+    assert isinstance(queue.enqueue(waiter(), slots=8, now=0.0), Success)
     assert isinstance(last.refusal, QueueFull)
     assert woken == [1]
 
--- a/whinrack/server/_admission.py
+++ b/whinrack/server/_admission.py
@@ -10,13 +10,13 @@
 from whinrack.objects import Protocol, Target, TargetPool
 from whinrack.observability import Event, Metrics, log_event
 from whinrack.routing import (
-    EjectAlone,
     LoadReport,
+    LocalEjection,
     PickQuery,
     PoolState,
+    QueuedRequest,
     RouteDecision,
     TargetView,
-    Waiter,
 )
 
 __all__ = ["PoolDirectory", "Slot"]
@@ -39,7 +39,7 @@
         if self.released:
             return
         self.released = True
-        self.target.finished()
+        self.target.end_request()
         self.pool.queue.record_service(steady() - self.started)
         self.directory.wake(self.pool)
 
@@ -133,15 +133,15 @@
     def failed(self, target: TargetView) -> None:
         """Take in a connection that failed or broke."""
         now = steady()
-        before = target.ejection.ejected(now)
-        target.failed(now)
-        if target.ejection.ejected(now) and not before:
+        before = target.ejection.is_ejected(now)
+        target.record_failure(now)
+        if target.ejection.is_ejected(now) and not before:
             self.metrics.ejections.inc()
             log_event(Event.TARGET_EJECTED, target=target.name)
 
     def wake(self, pool: PoolState) -> None:
         """Let the first waiter of a pool try."""
-        waiter = pool.queue.first(steady())
+        waiter = pool.queue.peek(steady())
         if waiter is not None:
             waiter.wake()
 
@@ -152,14 +152,14 @@
 
     def _wait(self, pool: PoolState, query: PickQuery, deadline: float, now: float):
         semaphore = Semaphore(0)
-        waiter = Waiter(query.request_class, deadline, semaphore.release)
-        joined = pool.queue.join(waiter, pool.slots(now), now)
+        waiter = QueuedRequest(query.request_class, deadline, semaphore.release)
+        joined = pool.queue.enqueue(waiter, pool.slots(now), now)
         if isinstance(joined, Failure):
             return joined
         try:
             return self._wait_turn(pool, query, waiter, semaphore)
         finally:
-            pool.queue.leave(waiter)
+            pool.queue.remove(waiter)
             self.metrics.queue_wait.labels(str(query.request_class)).observe(steady() - now)
 
     def _wait_turn(self, pool, query, waiter, semaphore) -> Result[Slot, Refusal]:
@@ -179,12 +179,12 @@
                 return Failure(waiter.refusal)
             target = pool.pick(query, steady())
             if target is not None:
-                pool.queue.leave(waiter)
+                pool.queue.remove(waiter)
                 self.wake(pool)
                 return Success(Slot(self, pool, target))
 
     def _others_first(self, pool: PoolState, query: PickQuery, now: float) -> bool:
-        first = pool.queue.first(now)
+        first = pool.queue.peek(now)
         if first is None:
             return False
         ranks = list(type(query.request_class))
@@ -203,10 +203,10 @@
     def _place(self, pool: PoolState, name: str, spec: Target) -> None:
         target = pool.targets.get(name)
         if target is None:
-            target = TargetView(name, spec, EjectAlone())
+            target = TargetView(name, spec, LocalEjection())
             pool.add(target)
         was_leaving = target.leaving
         target.update(spec)
-        target.instance_leaving = spec.instance in self._leaving_instances
+        target.is_instance_leaving = spec.instance in self._leaving_instances
         if target.leaving and not was_leaving:
             log_event(Event.TARGET_LEAVING, target=name)
--- a/whinrack/server/_calls.py
+++ b/whinrack/server/_call_runner.py
@@ -95,7 +95,7 @@
     def place_at(self, call: Call, target: TargetView) -> Slot:
         """Take a place at a given target."""
         pool = self.context.directory.pools()[target.spec.pool]
-        target.started()
+        target.begin_request()
         call.slot = Slot(self.context.directory, pool, target)
         return call.slot
 
--- a/whinrack/server/_chat.py
+++ b/whinrack/server/_chat.py
@@ -31,7 +31,7 @@
 from whinrack.routing import RequestFacts
 from whinrack.server._auth import Caller
 from whinrack.server._call import Call, deadline_of, request_class_of
-from whinrack.server._calls import CallRunner
+from whinrack.server._call_runner import CallRunner
 from whinrack.server._chat_request import engine_body, parse_chat
 from whinrack.server._context import ServerContext
 from whinrack.server._http import HttpAnswer, HttpRequest, answer_headers, error_body
@@ -191,7 +191,7 @@
         if refused_unstarted(response):
             response.drain_conn()
             response.release_conn()
-            call.slot.target.overloaded()
+            call.slot.target.record_overload()
             call.slot.target.back_off(retry_after(response), steady())
             return Failure(TargetUnavailable("the target is busy", retry_after=1.0))
         if response.status >= 500:
@@ -344,7 +344,7 @@
         return self.context.targets.cancel(address, call.identity.request_id)
 
     def _succeeded(self, call: ChatCall) -> None:
-        call.slot.target.succeeded(steady())
+        call.slot.target.record_success(steady())
 
     # --- resuming ----------------------------------------------------------------
 
--- a/whinrack/server/_daemon.py
+++ b/whinrack/server/_daemon.py
@@ -22,12 +22,12 @@
 from whinrack.server._answers import AnswerShelf
 from whinrack.server._app import Application
 from whinrack.server._bills import BillKeeper
+from whinrack.server._config_follower import ConfigFollower
 from whinrack.server._context import DaemonState, ServerContext
-from whinrack.server._follower import ConfigFollower
 from whinrack.server._peer_handlers import ChangeSignal, DaemonHandlers
 from whinrack.server._protocol import CallerProtocol
-from whinrack.server._sources import PeerSpares, RegionSource
 from whinrack.server._tasks import BackgroundTasks
+from whinrack.server._token_sources import PeerSpares, RegionSource
 from whinrack.settings import Settings
 from whinrack.store import HttpObjectStore, StoredObject
 
--- a/whinrack/server/_operations.py
+++ b/whinrack/server/_operations.py
@@ -130,7 +130,7 @@
             members=sorted(member.name for member in context.table.alive(now)),
             watching=context.state.watching,
             leaving_targets=sorted(target.name for target in targets if target.leaving),
-            ejected_targets=sorted(t.name for t in targets if t.ejection.ejected(now)),
+            ejected_targets=sorted(t.name for t in targets if t.ejection.is_ejected(now)),
             grants=grants,
             versions=context.config.versions(),
         )
--- a/whinrack/server/_ownership.py
+++ b/whinrack/server/_ownership.py
@@ -35,7 +35,7 @@
     Ticket,
     evaluate_claim,
 )
-from whinrack.server._consulting import AskedRequest, PeerConsultant
+from whinrack.server._consultation import AskedRequest, PeerConsultant
 from whinrack.server._context import ServerContext
 
 __all__ = ["JoinHere", "JoinPeer", "Ownership", "RunHere"]
--- a/whinrack/server/_services.py
+++ b/whinrack/server/_services.py
@@ -13,7 +13,7 @@
 from whinrack.routing import RequestFacts
 from whinrack.server._auth import Caller
 from whinrack.server._call import Call, deadline_of, request_class_of
-from whinrack.server._calls import CallRunner
+from whinrack.server._call_runner import CallRunner
 from whinrack.server._http import HttpAnswer, HttpRequest, answer_headers
 
 __all__ = ["SERVICES_PREFIX", "ServiceEndpoint"]
@@ -105,7 +105,7 @@
         response = reply.unwrap()
         if refused_unstarted(response) and response.headers.get("Whinrack-Started") == "no":
             response.close()
-            call.slot.target.overloaded()
+            call.slot.target.record_overload()
             call.slot.target.back_off(retry_after(response), steady())
             return Failure(TargetUnavailable("the target is busy", retry_after=1.0))
         chunks = body_chunks(response)
@@ -114,7 +114,7 @@
         except AnswerCut as cut:
             response.close()
             return Failure(cut)
-        call.slot.target.succeeded(steady())
+        call.slot.target.record_success(steady())
         self.context.metrics.first_byte.labels(self.kind).observe(steady() - call.request.arrived)
         headers = _returned_headers(response)
         headers += answer_headers(call.identity.request_id, call.attempts, Outcome.RAN)
--- a/whinrack/server/_tasks.py
+++ b/whinrack/server/_tasks.py
@@ -10,8 +10,8 @@
 from whinrack.objects import TargetPool
 from whinrack.observability import Event, log_event
 from whinrack.routing import TargetView
+from whinrack.server._config_follower import ConfigFollower
 from whinrack.server._context import ServerContext
-from whinrack.server._follower import ConfigFollower
 from whinrack.server._peer_handlers import DaemonHandlers
 from whinrack.store import ObjectStore
 
