--- a/benchmarks/bench_capacity.py
+++ b/benchmarks/bench_capacity.py
@@ -199,7 +199,7 @@
 
         def build(count=count):
             config = ConfigStore()
-            config.take_snapshot(count, budget_objects(count))
+            config.apply_snapshot(count, budget_objects(count))
             return config
 
         memory.append((count, bytes_of(build)))
@@ -207,13 +207,13 @@
     show("config_memory", memory, "B", "object")
     show("config_snapshot_cpu", times, "ms", "object")
     config = ConfigStore()
-    config.take_snapshot(20_000, budget_objects(20_000))
+    config.apply_snapshot(20_000, budget_objects(20_000))
     version = [20_000]
 
     def change():
         version[0] += 1
         stored = budget_objects(1)[0]
-        config.take_batch(version[0], [msgspec.structs.replace(stored, version=version[0])])
+        config.apply_batch(version[0], [msgspec.structs.replace(stored, version=version[0])])
 
     report("config_change_cpu", 1e6 * seconds_of(change, 500), "us")
     since = version[0] - 1
@@ -250,7 +250,7 @@
         def build(members=members):
             table = MembershipTable("router-0")
             for one in members:
-                table.heard(member_from_pb(member_to_pb(one)), 0.0)
+                table.record_heartbeat(member_from_pb(member_to_pb(one)), 0.0)
             return table
 
         memory.append((count, bytes_of(build)))
@@ -259,11 +259,13 @@
         def beat(table=table, members=members):
             message = pb.HeartbeatRequest(sender=member_to_pb(members[1]))
             decoded = pb.HeartbeatRequest.FromString(message.SerializeToString())
-            table.heard(member_from_pb(decoded.sender), 0.0)
+            table.record_heartbeat(member_from_pb(decoded.sender), 0.0)
 
         beats.append((count, 1e6 * seconds_of(beat, 500)))
         own = members[0]
-        looks.append((count, 1e6 * seconds_of(lambda t=table, o=own: t.drawer(o, "a", 0.0), 50)))
+        looks.append(
+            (count, 1e6 * seconds_of(lambda t=table, o=own: t.drawing_incarnation(o, "a", 0.0), 50))
+        )
     show("member_memory", memory, "B", "member")
     show("heartbeat_cpu", beats, "us", "member")
     show("drawer_choice_cpu", looks, "us", "member")
--- a/benchmarks/bench_edge.py
+++ b/benchmarks/bench_edge.py
@@ -84,25 +84,30 @@
 
         def take(encoded=encoded, decode=decode, receiver=receiver, times=times):
             received = decode(encoded)
-            receiver.heard(msgspec.structs.replace(received, number=next(times)), 0.0)
+            receiver.record_heartbeat(msgspec.structs.replace(received, number=next(times)), 0.0)
 
         report("heartbeat", len(encoded), "B", peers=peers)
-        brief = msgspec.structs.replace(message, ages=sender.ages(0.0, near_only=True))
+        brief = msgspec.structs.replace(message, ages=sender.ages(0.0, own_hall_only=True))
         report("brief_heartbeat", len(msgspec.msgpack.encode(brief)), "B", peers=peers)
-        report("heartbeats_sent", _receivers(sender) / sender.interval(0.25), "/s", peers=peers)
+        report(
+            "heartbeats_sent",
+            _receivers(sender) / sender.heartbeat_interval(0.25),
+            "/s",
+            peers=peers,
+        )
         report("heartbeat_taken_in", _microseconds(take), "us", peers=peers)
 
 
 def _receivers(table: PeerTable) -> int:
-    chosen = table.receivers(0.0)
-    return len(chosen.near) + len(chosen.far)
+    chosen = table.next_receivers(0.0)
+    return len(chosen.own_hall) + len(chosen.elsewhere)
 
 
 def _table_of(peers: int) -> PeerTable:
     """Return the table of an instance that has heard all others."""
     table = PeerTable("instance", 1.0, 60.0, seed=1, data_hall="hall-0")
     for number in range(peers):
-        table.heard(_heartbeat(number, 1, PeerTable("", 1.0, 60.0)), 0.0)
+        table.record_heartbeat(_heartbeat(number, 1, PeerTable("", 1.0, 60.0)), 0.0)
     return table
 
 
@@ -120,7 +125,7 @@
         configuration=7,
     )
     return Heartbeat(
-        state=state, number=sequence, peers=sender.addresses(0.0), ages=sender.ages(0.0)
+        state=state, number=sequence, peers=sender.live_addresses(0.0), ages=sender.ages(0.0)
     )
 
 
--- a/standins/memory_store.py
+++ b/standins/memory_store.py
@@ -10,7 +10,7 @@
     StoredObject,
     WatchBatch,
     compose_revision,
-    number_of,
+    revision_number,
 )
 
 __all__ = ["MemoryStore"]
@@ -86,10 +86,10 @@
         """Come back from a copy, in the next era."""
         era = self.era.current + 1
         self.era.observe(str(era))
-        self.revision = compose_revision(era, number_of(copy[0]))
+        self.revision = compose_revision(era, revision_number(copy[0]))
         self.objects = {
             key: msgspec.structs.replace(
-                stored, version=compose_revision(era, number_of(stored.version))
+                stored, version=compose_revision(era, revision_number(stored.version))
             )
             for key, stored in copy[1].items()
         }
--- a/tests/sessions.py
+++ b/tests/sessions.py
@@ -257,7 +257,7 @@
     """Versions from a watch, a peer and snapshots, late and out of order."""
     session = Session()
     config = ConfigStore(
-        on_change=lambda kinds: session.say("config", f"changed, newest {config.newest}"),
+        on_change=lambda kinds: session.say("config", f"changed, newest {config.newest_version}"),
         on_invalid=lambda stored, error: session.say("config", f"keeps the last: {error.message}"),
     )
 
@@ -265,12 +265,12 @@
         return StoredObject("Workspace", "w", version, value, deleted)
 
     def batch(source, revision, *objects):
-        taken = config.take_batch(revision, objects)
+        taken = config.apply_batch(revision, objects)
         session.say(source, f"up to {revision}: {taken} of {len(objects)} new")
         show()
 
     def snapshot(source, revision, *objects):
-        taken = config.take_snapshot(revision, objects)
+        taken = config.apply_snapshot(revision, objects)
         session.say(source, f"all at {revision}: {taken} new")
         show()
 
--- a/whinrack/cli/_options.py
+++ b/whinrack/cli/_options.py
@@ -30,4 +30,4 @@
 
 def open_store(address: str) -> ObjectStore:
     """Return the platform's object API for one command."""
-    return HttpObjectStore(address, timeout=_TIMEOUT, rate=_RATE, longest_wait=_LONGEST_WAIT)
+    return HttpObjectStore(address, timeout=_TIMEOUT, rate=_RATE, max_wait=_LONGEST_WAIT)
--- a/whinrack/cli/tests/test_quarantine.py
+++ b/whinrack/cli/tests/test_quarantine.py
@@ -6,23 +6,23 @@
 from whinrack.cli._main import main
 from whinrack.edge._operator_endpoints import OperatorEndpoints
 from whinrack.http1 import Exchange, RequestHead
-from whinrack.quarantine import Quarantine, QuarantineHost, RequestName, TargetEnd
+from whinrack.quarantine import Quarantine, QuarantineHost, RequestSignature, TargetEnd
 
 
 class Host(QuarantineHost):
     def __init__(self):
         self.told = []
 
-    def tell_owners(self, case):
+    def send_to_owners(self, case):
         pass
 
-    def tell_all(self, cases):
+    def send_to_all(self, cases):
         self.told += cases
 
     def reaches_store(self):
         return False
 
-    def keep(self):
+    def schedule_save(self):
         pass
 
 
@@ -42,7 +42,7 @@
 def quarantine():
     quarantine = Quarantine(None, Host(), lambda: 100.0)
     for target in "abc":
-        quarantine.target_ended(TargetEnd(target, 7), [RequestName("0f", "w", "r")])
+        quarantine.record_target_end(TargetEnd(target, 7), [RequestSignature("0f", "w", "r")])
     return quarantine
 
 
@@ -68,7 +68,7 @@
 
 def test_lifting_lets_it_through_and_tells_all(ask, quarantine):
     assert ask(b"DELETE", b"/quarantine/0f")[0] == 200
-    assert quarantine.kept_out() == []
+    assert quarantine.quarantined_cases() == []
     assert quarantine.host.told[-1].epoch == 1
     assert ask(b"DELETE", b"/quarantine/0f")[0] == 404
 
--- a/whinrack/dispatch/_attempts.py
+++ b/whinrack/dispatch/_attempts.py
@@ -211,7 +211,7 @@
             state.answered(steady())
             self._pass_on(run, pool, connection, head)
             if head.status < _SERVER_ERROR:
-                self.guard.ended_well(run.name)
+                self.guard.record_success(run.name)
         except AnswerCut as failure:
             state.ejection.record_failure(steady())
             self.target_ends.cut(state, run.name)
--- a/whinrack/dispatch/_request_run.py
+++ b/whinrack/dispatch/_request_run.py
@@ -13,7 +13,7 @@
     WorkspaceRecord,
 )
 from whinrack.http1 import Exchange
-from whinrack.quarantine import RequestName, fingerprint
+from whinrack.quarantine import RequestSignature, compute_fingerprint
 
 __all__ = ["Run"]
 
@@ -90,15 +90,15 @@
         """The name that all requests with this path, caller and body share."""
         if not self._fingerprint:
             request = self.request
-            self._fingerprint = fingerprint(
+            self._fingerprint = compute_fingerprint(
                 request.host, request.target, self.workspace_name, request.body
             )
         return self._fingerprint
 
     @property
-    def name(self) -> RequestName:
+    def name(self) -> RequestSignature:
         """What the quarantine knows the request by."""
-        return RequestName(self.fingerprint, self.workspace_name, self.route.name)
+        return RequestSignature(self.fingerprint, self.workspace_name, self.route.name)
 
     @property
     def workspace_name(self) -> str:
--- a/whinrack/dispatch/_target_ends.py
+++ b/whinrack/dispatch/_target_ends.py
@@ -10,7 +10,7 @@
 from whinrack.dispatch._registry import TargetRegistry
 from whinrack.dispatch._target_state import TargetState
 from whinrack.observability import Event, log_event
-from whinrack.quarantine import RequestName, RunGuard, TargetEnd
+from whinrack.quarantine import RequestSignature, RunGuard, TargetEnd
 
 __all__ = ["Presence", "TargetEnds", "probe_address"]
 
@@ -72,9 +72,9 @@
         self.guard = guard
         self.probe_address = probe_address
         # Requests that were cut, for one question at each target.
-        self._cut: dict[TargetState, list[RequestName]] = {}
+        self._cut: dict[TargetState, list[RequestSignature]] = {}
 
-    def cut(self, state: TargetState, request: RequestName) -> None:
+    def cut(self, state: TargetState, request: RequestSignature) -> None:
         """Learn that a target cut the answer to a request."""
         if state.leaving and not state.replaced:
             return
@@ -104,7 +104,7 @@
         if presence is Presence.ENDED:
             # Nobody else need find out by a connection that fails.
             state.unreachable(steady())
-            self.guard.target_ended(TargetEnd(record.incarnation, record.started), requests)
+            self.guard.record_target_end(TargetEnd(record.incarnation, record.started), requests)
 
     def _presence(self, state: TargetState) -> Presence:
         presence = self.probe_address(state.address)
--- a/whinrack/dispatch/_values.py
+++ b/whinrack/dispatch/_values.py
@@ -5,7 +5,7 @@
 import msgspec
 
 from whinrack.http1 import Headers
-from whinrack.store import shown_revision
+from whinrack.store import format_revision
 
 __all__ = [
     "Attempt",
@@ -207,7 +207,7 @@
     source: str = ""
 
     def __str__(self) -> str:
-        return f"{shown_revision(self.revision)}@{self.age:.1f} {self.source}"
+        return f"{format_revision(self.revision)}@{self.age:.1f} {self.source}"
 
 
 class DeclaredTokens(msgspec.Struct, frozen=True):
--- a/whinrack/dispatch/tests/test_target_ends.py
+++ b/whinrack/dispatch/tests/test_target_ends.py
@@ -8,9 +8,9 @@
 from whinrack.clock import steady
 from whinrack.dispatch import TargetRecord, TargetRegistry
 from whinrack.dispatch._target_ends import Presence, TargetEnds, probe_address
-from whinrack.quarantine import RequestName, RunGuard, TargetEnd
+from whinrack.quarantine import RequestSignature, RunGuard, TargetEnd
 
-REQUESTS = [RequestName(f"f{number}", "w", "r") for number in range(3)]
+REQUESTS = [RequestSignature(f"f{number}", "w", "r") for number in range(3)]
 RECORD = TargetRecord("t", "p", "h", 1, started=7)
 
 
@@ -20,7 +20,7 @@
     def __init__(self):
         self.ends = []
 
-    def target_ended(self, end, runs):
+    def record_target_end(self, end, runs):
         self.ends.append((end, runs))
 
 
--- a/whinrack/edge/_daemon.py
+++ b/whinrack/edge/_daemon.py
@@ -96,8 +96,8 @@
         self.metrics = Metrics()
         self.store = MeteredStore(store, self._count_call)
         self.output = BoundedOutput(_STDOUT, options.log_lines_per_second)
-        self.store.era.changed.append(self._era_changed)
-        self.store.unknown_fields.found.append(self._field_unknown)
+        self.store.era.listeners.append(self._era_changed)
+        self.store.unknown_fields.listeners.append(self._field_unknown)
         self.contact = StoreContact(self._contact_changed)
         self.registry = TargetRegistry(
             rate_permits=SharedRatePermits(
@@ -266,7 +266,7 @@
         log_event(Event.CONFIG_TAKEN, version=configuration.version, era=self.store.era.current)
 
     def _contact_changed(self, answers: bool) -> None:
-        silent = round(steady() - self.store.answered_at, 3)
+        silent = round(steady() - self.store.last_answer_at, 3)
         event = Event.PLATFORM_BACK if answers else Event.PLATFORM_LOST
         log_event(event, silent=silent, why=self.store.last_failure, era=self.store.era.current)
         if answers:
@@ -280,7 +280,7 @@
 
     def _era_changed(self, change: EraChange) -> None:
         self.metrics.store_era.set(change.now)
-        silent = round(steady() - self.store.answered_at, 3)
+        silent = round(steady() - self.store.last_answer_at, 3)
         event = Event.STORE_ERA if change.before is None else Event.STORE_RESTORED
         log_event(
             event,
@@ -294,7 +294,7 @@
     def _store_restored(self, era: int) -> None:
         """Write what this instance knows and the store has lost."""
         # An instance that peers feed calls the store seldom.
-        self.store.era.learn(era)
+        self.store.era.advance_to(era)
         self.keeper.handle_store_restored(era)
         eventlet.spawn_n(self._renew)
         eventlet.spawn_n(self.earlier_runs.release_again)
@@ -311,7 +311,7 @@
                 log_event(
                     Event.BOOKS_KNOWN, books=self.keeper.summary(), era=self.store.era.current
                 )
-            eventlet.sleep(self.membership.table.interval(self.options.renew_seconds))
+            eventlet.sleep(self.membership.table.heartbeat_interval(self.options.renew_seconds))
             self.contact.wait(self.options.renew_seconds)
 
     def _renew(self) -> None:
--- a/whinrack/edge/_emptied_halls.py
+++ b/whinrack/edge/_emptied_halls.py
@@ -11,7 +11,7 @@
 from whinrack.edge._store_availability import StoreContact
 from whinrack.exceptions import InvalidObject
 from whinrack.observability import Event, log_event
-from whinrack.store import StoredObject, era_of, shown_revision
+from whinrack.store import StoredObject, format_revision, revision_era
 
 __all__ = ["HallKnowledge"]
 
@@ -78,7 +78,7 @@
             log_event(
                 Event.HALL_EMPTIED if word.is_emptied else Event.HALL_BACK,
                 hall=shown(word.hall),
-                version=shown_revision(word.version),
+                version=format_revision(word.version),
                 source=source,
                 age=self.relay.age(),
             )
@@ -86,15 +86,15 @@
             self.spread()
 
     def _replace(self, objects: tuple[StoredObject, ...], revision: int) -> None:
-        if self._era is not None and era_of(revision) > self._era:
-            eventlet.spawn_after(_REWRITTEN_SECONDS, self._release_unlisted, era_of(revision))
-            self._unsettled_era = era_of(revision)
-        self._era = era_of(revision)
+        if self._era is not None and revision_era(revision) > self._era:
+            eventlet.spawn_after(_REWRITTEN_SECONDS, self._release_unlisted, revision_era(revision))
+            self._unsettled_era = revision_era(revision)
+        self._era = revision_era(revision)
         listed = {stored.name for stored in objects if not stored.deleted}
         released = [
             word
             for word in self.registry.emptied_halls.released_by_list(listed, revision)
-            if era_of(word.version) >= self._era or self._unsettled_era != self._era
+            if revision_era(word.version) >= self._era or self._unsettled_era != self._era
         ]
         self.learn([*self._words(objects), *released], "list")
 
--- a/whinrack/edge/_entry_selection.py
+++ b/whinrack/edge/_entry_selection.py
@@ -1,7 +1,7 @@
 """Which instances callers are sent to. Decisions only, no I/O."""
 
 from whinrack.base import rendezvous
-from whinrack.gossip import PeerState, Strength, is_strong, strongest
+from whinrack.gossip import Capacity, PeerState, has_high_capacity, max_capacity
 
 __all__ = ["choose_entries", "is_crowded", "serves_callers"]
 
@@ -47,15 +47,15 @@
     for state in ready:
         by_hall.setdefault(state.data_hall, []).append(state)
     halls = [hall] if hall in by_hall else sorted(by_hall)
-    best = strongest(ready)
+    best = max_capacity(ready)
     return [state for name in halls for state in _of_hall(name, by_hall[name], best)]
 
 
-def _of_hall(hall: str, states: list[PeerState], best: Strength) -> list[PeerState]:
+def _of_hall(hall: str, states: list[PeerState], best: Capacity) -> list[PeerState]:
     by_name = {state.sender.name: state for state in states}
     # The same order at all instances, so that callers and their connections stay.
     names = rendezvous(f"entries/{hall}", by_name)
-    ordered = sorted(names, key=lambda name: not is_strong(by_name[name], best))
+    ordered = sorted(names, key=lambda name: not has_high_capacity(by_name[name], best))
     needed = max(_LEAST_CORES, sum(state.load for state in states) / _OPEN_PER_CORE)
     chosen: list[PeerState] = []
     cores = 0.0
--- a/whinrack/edge/_instance_host.py
+++ b/whinrack/edge/_instance_host.py
@@ -13,7 +13,7 @@
 from whinrack.edge._store_availability import StoreContact
 from whinrack.edge._suspects import SuspectExchange
 from whinrack.edge._tokens import TokenExchange
-from whinrack.gossip import GoneTarget, Message, SuspectCases
+from whinrack.gossip import Message, RemovedTarget, SuspectCases
 from whinrack.store import MeteredStore
 
 __all__ = ["HostedInstance", "InstanceHost"]
@@ -68,15 +68,15 @@
 
     def confirms_store(self) -> bool:
         """Whether the store has answered a call from here lately."""
-        silent = steady() - self.instance.store.answered_at
+        silent = steady() - self.instance.store.last_answer_at
         longest = self.instance.options.watch_seconds + _WATCH_MARGIN_SECONDS
         return self.reaches_store() and silent < longest
 
-    def gone_targets(self) -> list[GoneTarget]:
+    def gone_targets(self) -> list[RemovedTarget]:
         """Return the targets whose records have gone lately."""
         return self.instance.knowledge.gone_lately()
 
-    def learn_gone_targets(self, gone: list[GoneTarget]) -> None:
+    def learn_gone_targets(self, gone: list[RemovedTarget]) -> None:
         """Take in the targets that a peer knows to be gone."""
         self.instance.knowledge.learn_gone(gone)
 
--- a/whinrack/edge/_kind_follower.py
+++ b/whinrack/edge/_kind_follower.py
@@ -18,7 +18,7 @@
     Snapshot,
     StoredObject,
     WatchBatch,
-    shown_revision,
+    format_revision,
 )
 
 __all__ = [
@@ -239,8 +239,8 @@
                 Event.LIST_REFUSED,
                 kind=self.kind,
                 source=source.name,
-                revision=shown_revision(revision),
-                followed=shown_revision(self.relay.revision),
+                revision=format_revision(revision),
+                followed=format_revision(self.relay.revision),
             )
 
     def _take_batch(self, source: FollowedSource, batch: WatchBatch) -> None:
--- a/whinrack/edge/_knowledge.py
+++ b/whinrack/edge/_knowledge.py
@@ -19,9 +19,9 @@
 from whinrack.edge._restore_reconciliation import LostEntries
 from whinrack.edge._store_availability import StoreContact
 from whinrack.exceptions import InvalidObject
-from whinrack.gossip import GoneTarget
+from whinrack.gossip import RemovedTarget
 from whinrack.observability import Event, log_event
-from whinrack.store import ObjectStore, StoredObject, era_of, shown_revision
+from whinrack.store import ObjectStore, StoredObject, format_revision, revision_era
 
 __all__ = ["StoreKnowledge"]
 
@@ -153,17 +153,17 @@
             self._reading = True
             eventlet.spawn_n(self._catch_up, peer)
 
-    def gone_lately(self) -> list[GoneTarget]:
+    def gone_lately(self) -> list[RemovedTarget]:
         """Return the targets whose records have gone lately, for the peers."""
         since = steady() - _GONE_TOLD_SECONDS
-        late: list[GoneTarget] = []
+        late: list[RemovedTarget] = []
         for name, gone in reversed(self._gone.items()):
             if gone.at < since:
                 break
-            late.append(GoneTarget(name, gone.version))
+            late.append(RemovedTarget(name, gone.version))
         return late
 
-    def learn_gone(self, gone: list[GoneTarget]) -> None:
+    def learn_gone(self, gone: list[RemovedTarget]) -> None:
         """Take in what a peer knows to be gone, unless a later record is known here."""
         for target in gone:
             known = self._targets.get(target.incarnation)
@@ -274,7 +274,7 @@
         self._believe(self._lost.believed(objects, self._targets.values(), now))
         if pauses:
             for tell in self.restored:
-                tell(era_of(revision))
+                tell(revision_era(revision))
 
     def _look_again(self) -> None:
         """Take the list anew: what the store lost has had time to be written again."""
@@ -305,7 +305,7 @@
             Event.TARGET_LEAVING,
             target=incarnation,
             source=how,
-            version=shown_revision(version),
+            version=format_revision(version),
             targets=self.targets_view(),
         )
 
--- a/whinrack/edge/_load_sharing.py
+++ b/whinrack/edge/_load_sharing.py
@@ -32,18 +32,20 @@
 
     def heard(self, message: TargetLoads) -> None:
         """Take in the loads of a peer."""
-        self.registry.remote_loads.update(message.sender, message.counts, steady(), message.unread)
+        self.registry.remote_loads.update(
+            message.sender, message.request_counts, steady(), message.unread_prompt_tokens
+        )
 
     def share_forever(self) -> None:
         """Tell the peers that serve callers how many requests are at each target from here."""
         told = False
         while True:
-            eventlet.sleep(self.table.interval(_LOADS_SECONDS))
+            eventlet.sleep(self.table.heartbeat_interval(_LOADS_SECONDS))
             counts = self.registry.requests_by_target()
             if counts or told:
                 self._share(TargetLoads(self.name, counts, self.registry.unread_tokens()))
             told = bool(counts)
 
     def _share(self, message: TargetLoads) -> None:
-        for view in self.table.serving(steady()):
+        for view in self.table.serving_peers(steady()):
             self.link.send(message, view.state.sender.address)
--- a/whinrack/edge/_membership.py
+++ b/whinrack/edge/_membership.py
@@ -81,7 +81,7 @@
         self.clocks = ClockCheck()
         self.rate_sharers = RateSharers(options, self.table)
         self.missing = MissingPeers(options, self.table)
-        self.traffic = TrafficMeter(options.data_hall, self.table.hall_of, count_bytes)
+        self.traffic = TrafficMeter(options.data_hall, self.table.data_hall_of, count_bytes)
         self.link = GossipLink(options.gossip, self._receive, self.traffic.moved)
         self.loads = LoadSharing(options.name, self.table, self.link, registry)
         self._callers = f"{options.callers[0]}:{options.callers[1]}"
@@ -113,15 +113,15 @@
         # What it changes is told by a heartbeat of its own, ahead of this one.
         self.registry.stated_limits.drop_expired()
         now = steady()
-        message = self._heartbeat(now, self.table.news(now))
-        receivers = self.table.receivers(now)
+        message = self._heartbeat(now, self.table.take_states_to_pass_on(now))
+        receivers = self.table.next_receivers(now)
         # One peer that answers with all states is enough: 109 bytes for each instance.
-        asked = next(iter([*receivers.near, *receivers.far]), None)
+        asked = next(iter([*receivers.own_hall, *receivers.elsewhere]), None)
         asks = self._asks_for_states(now)
-        for address in receivers.near:
+        for address in receivers.own_hall:
             self._send(_asking(message, asks and address == asked), address)
         brief = self._brief(message, now)
-        for address in receivers.far:
+        for address in receivers.elsewhere:
             self._send(_asking(brief, asks and address == asked), address)
         self._log_changes(now)
 
@@ -133,8 +133,8 @@
         """Return a heartbeat for another data hall, which tells of the own hall only."""
         return msgspec.structs.replace(
             message,
-            passed_on=self.table.near_only(message.passed_on),
-            ages=self.table.ages(now, near_only=True),
+            passed_on=self.table.own_hall_only(message.passed_on),
+            ages=self.table.ages(now, own_hall_only=True),
         )
 
     def _heartbeat(self, now: float, passed_on: list[PeerState]) -> Heartbeat:
@@ -143,22 +143,22 @@
         return Heartbeat(
             state=self.own_state(),
             number=self._number,
-            wall=time.time(),
-            leaving=[record.incarnation for record in leaving],
-            leaving_started=[record.started for record in leaving],
-            gone=self.host.gone_targets()[:_MOST_LEAVING],
-            peers=self.table.addresses(now),
+            wall_time=time.time(),
+            leaving_targets=[record.incarnation for record in leaving],
+            leaving_start_times=[record.started for record in leaving],
+            removed_targets=self.host.gone_targets()[:_MOST_LEAVING],
+            peers=self.table.live_addresses(now),
             passed_on=passed_on,
             ages=self.table.ages(now),
-            suspects=self.host.suspects_checksum(),
-            halls=self.registry.emptied_halls.statuses(),
-            limits=self.registry.stated_limits.next_reports(),
-            misses_peers=self.missing.misses,
+            suspects_checksum=self.host.suspects_checksum(),
+            emptied_halls=self.registry.emptied_halls.statuses(),
+            target_limits=self.registry.stated_limits.next_reports(),
+            has_missing_peers=self.missing.misses,
         )
 
     def _asks_for_states(self, now: float) -> bool:
         """Whether to ask for the states that are lacking, at most once a second."""
-        if now - self._asked_at < _ASKING_SECONDS or not self.table.take_lacking():
+        if now - self._asked_at < _ASKING_SECONDS or not self.table.pop_missing_states_flag():
             return False
         self._asked_at = now
         return True
@@ -200,7 +200,7 @@
 
     def is_crowded(self) -> bool:
         """Whether callers had better connect to other instances."""
-        serving = [view.state for view in self.table.serving(steady())]
+        serving = [view.state for view in self.table.serving_peers(steady())]
         return is_crowded(self.own_state(), self.host.open_requests(), serving)
 
     def sharing_instances(self) -> int:
@@ -209,12 +209,12 @@
         Those that are missing count: parts of a fleet that don't hear each other would each share
         out the whole of what all together may send again, or connect.
         """
-        missing = self.missing.count(only_serving=not self.table.is_mesh)
-        return self.table.sharing_count(steady()) + missing
+        missing = self.missing.count(only_serving=not self.table.is_full_mesh)
+        return self.table.count_sharing_instances(steady()) + missing
 
     def peer_with_store(self) -> HostPort | None:
         """Return the address of a peer that reaches the store, None if none does."""
-        reaching = self.table.with_store(steady())
+        reaching = self.table.peers_with_store(steady())
         if not reaching:
             return None
         return random.choice(reaching).state.sender.address
@@ -222,13 +222,13 @@
     def wall_clock(self) -> WallClockReading:
         """Return the time of day, checked by that of the peers."""
         seconds = time.time()
-        return WallClockReading(seconds, self.clocks.agrees(seconds, steady()))
+        return WallClockReading(seconds, self.clocks.is_confirmed_by_peers(seconds, steady()))
 
     def beat_forever(self) -> None:
         """Send heartbeats until the process ends."""
         while True:
             self.beat()
-            eventlet.sleep(self.table.interval(self.options.heartbeat_seconds))
+            eventlet.sleep(self.table.heartbeat_interval(self.options.heartbeat_seconds))
 
     def _receive(self, message, address: tuple[str, int]) -> None:
         if isinstance(message, Heartbeat):
@@ -241,29 +241,29 @@
     def _heard(self, beat: Heartbeat) -> None:
         now = steady()
         sender = beat.state.sender
-        self.clocks.heard(sender.name, beat.wall, now)
+        self.clocks.record_peer_time(sender.name, beat.wall_time, now)
         without_store = self._is_without_store(now)
-        is_new = self.table.heard(beat, now)
-        if without_store and self.table.with_store(now):
+        is_new = self.table.record_heartbeat(beat, now)
+        if without_store and self.table.peers_with_store(now):
             self.host.hear_of_store()
-        if is_new or beat.asks_for_states or self._is_alone(beat, now):
+        if is_new or beat.requests_states or self._is_alone(beat, now):
             # At once, so that a peer that has just started knows this one and the others.
             self._introduce(beat, now)
         newest = max((beat.state, *beat.passed_on), key=lambda state: state.configuration)
         if newest.configuration > self.directory.version:
             self.host.hear_of_configuration(newest.sender.address)
-        self.host.learn_gone_targets(beat.gone)
-        if beat.halls:
-            self.host.learn_halls(beat.halls, sender.name)
-        self.missing.tell(beat.misses_peers)
-        self.registry.stated_limits.merge_reports(beat.limits, sender.name)
-        self.host.compare_suspects(beat.suspects, sender.address)
-        if self._learn_leaving(beat) and not self.table.is_mesh:
+        self.host.learn_gone_targets(beat.removed_targets)
+        if beat.emptied_halls:
+            self.host.learn_halls(beat.emptied_halls, sender.name)
+        self.missing.tell(beat.has_missing_peers)
+        self.registry.stated_limits.merge_reports(beat.target_limits, sender.name)
+        self.host.compare_suspects(beat.suspects_checksum, sender.address)
+        if self._learn_leaving(beat) and not self.table.is_full_mesh:
             self.spread()
 
     def _is_without_store(self, now: float) -> bool:
         """Whether neither this instance nor a peer that it hears reaches the store."""
-        return not self.host.reaches_store() and not self.table.with_store(now)
+        return not self.host.reaches_store() and not self.table.peers_with_store(now)
 
     def _is_alone(self, beat: Heartbeat, now: float) -> bool:
         """Whether a peer knows few of a large fleet; noticed once a second for each peer.
@@ -271,7 +271,7 @@
         Its run may be known by hearsay while no answer has reached it: two data halls of 39
         instances stayed alone, each of which followed the store and wrote the books itself.
         """
-        if beat.ages or self.table.is_mesh:
+        if beat.ages or self.table.is_full_mesh:
             return False
         name = beat.state.sender.name
         if now - self._introduced_at.get(name, float("-inf")) < _ASKING_SECONDS:
@@ -284,15 +284,17 @@
 
         One that tells of others knows many already, and needs no states.
         """
-        knows_few = beat.asks_for_states or not beat.ages
-        message = self._heartbeat(now, self.table.states(now) if knows_few else [])
-        if not knows_few and not self.table.is_near(beat.state):
+        knows_few = beat.requests_states or not beat.ages
+        message = self._heartbeat(now, self.table.live_states(now) if knows_few else [])
+        if not knows_few and not self.table.is_in_own_hall(beat.state):
             message = self._brief(message, now)
         self.link.send(message, beat.state.sender.address)
 
     def _learn_leaving(self, beat: Heartbeat) -> bool:
         """Take in which targets a peer knows to be leaving; True if that is news."""
-        told = itertools.zip_longest(beat.leaving, beat.leaving_started[: len(beat.leaving)])
+        told = itertools.zip_longest(
+            beat.leaving_targets, beat.leaving_start_times[: len(beat.leaving_targets)]
+        )
         news = [name for name, started in told if self.registry.mark_leaving(name, started or 0)]
         for incarnation in news:
             log_event(Event.TARGET_LEAVING, target=incarnation, source=beat.state.sender.name)
@@ -306,7 +308,7 @@
             self.beat()
 
     def _log_changes(self, now: float) -> None:
-        live = {view.state.sender.name for view in self.table.live(now)}
+        live = {view.state.sender.name for view in self.table.live_peers(now)}
         joined, lost = sorted(live - self._known_live), sorted(self._known_live - live)
         if joined:
             log_event(Event.MEMBER_JOINED, peer=_few(joined), live=len(live))
@@ -319,7 +321,7 @@
 
 def _asking(message: Heartbeat, asks: bool) -> Heartbeat:
     """Return a heartbeat that asks for all states, or the heartbeat as it is."""
-    return msgspec.structs.replace(message, asks_for_states=True) if asks else message
+    return msgspec.structs.replace(message, requests_states=True) if asks else message
 
 
 def _is_news(before: PeerState | None, now: PeerState) -> bool:
--- a/whinrack/edge/_membership_host.py
+++ b/whinrack/edge/_membership_host.py
@@ -2,7 +2,7 @@
 
 from whinrack.dispatch import HallStatus
 from whinrack.edge._options import HostPort
-from whinrack.gossip import GoneTarget, Message
+from whinrack.gossip import Message, RemovedTarget
 
 __all__ = ["MembershipHost"]
 
@@ -30,11 +30,11 @@
         """Whether the store has answered a call from here lately."""
         raise NotImplementedError
 
-    def gone_targets(self) -> list[GoneTarget]:
+    def gone_targets(self) -> list[RemovedTarget]:
         """Return the targets whose records have gone lately."""
         raise NotImplementedError
 
-    def learn_gone_targets(self, gone: list[GoneTarget]) -> None:
+    def learn_gone_targets(self, gone: list[RemovedTarget]) -> None:
         """Take in the targets that a peer knows to be gone."""
         raise NotImplementedError
 
--- a/whinrack/edge/_missing_peers.py
+++ b/whinrack/edge/_missing_peers.py
@@ -74,7 +74,7 @@
         return self._missing
 
     def _renew(self, now: float) -> None:
-        for view in self.table.remembered(now, self.options.forget_seconds):
+        for view in self.table.peers_heard_within(now, self.options.forget_seconds):
             name = view.state.sender.name
             if view.state.ready:
                 self._remembered[name] = _Remembered(view.heard_at, view.state.serving)
@@ -85,7 +85,7 @@
             for name, each in self._remembered.items()
             if now - each.heard_at <= _MISSED_SECONDS
         }
-        live = {view.state.sender.name for view in self.table.live(now)}
+        live = {view.state.sender.name for view in self.table.live_peers(now)}
         self._missing = [each for name, each in self._remembered.items() if name not in live]
 
     def _lacks_seeds(self, now: float) -> bool:
@@ -94,4 +94,4 @@
             return False
         own = self.options.gossip[0]
         hosts = {host for host, _ in self.options.seeds if host != own}
-        return any(self.table.hall_of(host) is None for host in hosts)
+        return any(self.table.data_hall_of(host) is None for host in hosts)
--- a/whinrack/edge/_operator_endpoints.py
+++ b/whinrack/edge/_operator_endpoints.py
@@ -4,7 +4,7 @@
 
 from whinrack.edge._endpoints import AuxiliaryEndpoints
 from whinrack.http1 import Exchange, Headers
-from whinrack.quarantine import Quarantine, listed
+from whinrack.quarantine import Quarantine, describe_case
 
 __all__ = ["OperatorEndpoints"]
 
@@ -39,5 +39,5 @@
             lifted = self.quarantine.lift(fingerprint.strip(b"/").decode("latin-1"))
             exchange.respond(_OK if lifted else _NOT_FOUND, [], b"")
         else:
-            rows = [listed(case) for case in self.quarantine.kept_out()]
+            rows = [describe_case(case) for case in self.quarantine.quarantined_cases()]
             exchange.respond(_OK, _JSON, msgspec.json.encode(rows))
--- a/whinrack/edge/_rate_sharers.py
+++ b/whinrack/edge/_rate_sharers.py
@@ -50,13 +50,13 @@
 
     def _count(self, now: float) -> frozenset[str]:
         age = now - self.started
-        views = self.table.remembered(now, _REMEMBERED_SECONDS)
+        views = self.table.peers_heard_within(now, _REMEMBERED_SECONDS)
         expects_others = any(seed != self.options.gossip for seed in self.options.seeds)
         if age < _SETTLE_SECONDS and expects_others:
             return frozenset()
         if not views and expects_others and age < _ALONE_SECONDS:
             return frozenset()
-        all_count = self.table.is_mesh or age < _ALL_COUNT_SECONDS
+        all_count = self.table.is_full_mesh or age < _ALL_COUNT_SECONDS
         names = (view.state.sender.name for view in views if self._counts(view, now, all_count))
         return frozenset([self.options.name, *names])
 
--- a/whinrack/edge/_restore_reconciliation.py
+++ b/whinrack/edge/_restore_reconciliation.py
@@ -6,7 +6,7 @@
 
 from collections.abc import Collection
 
-from whinrack.store import StoredObject, era_of
+from whinrack.store import StoredObject, revision_era
 
 __all__ = ["LostEntries"]
 
@@ -46,7 +46,7 @@
         tuple of float
             After how many seconds the list has to be looked at again.
         """
-        era, before = era_of(revision), self._era
+        era, before = revision_era(revision), self._era
         if before is not None and era <= before:
             return ()
         self._era = era
@@ -69,6 +69,6 @@
             believed += [
                 stored
                 for stored in known
-                if stored.name not in names and era_of(stored.version) < self._era
+                if stored.name not in names and revision_era(stored.version) < self._era
             ]
         return believed
--- a/whinrack/edge/_suspects.py
+++ b/whinrack/edge/_suspects.py
@@ -12,7 +12,7 @@
 from whinrack.edge._store_availability import StoreContact
 from whinrack.gossip import GossipLink, PeerTable, SuspectCases
 from whinrack.observability import Event, Metrics, log_event
-from whinrack.quarantine import Case, CaseArchive, Quarantine, QuarantineHost
+from whinrack.quarantine import Case, CaseStore, Quarantine, QuarantineHost
 from whinrack.store import ObjectStore
 
 __all__ = ["SuspectExchange"]
@@ -69,7 +69,7 @@
         self.table = table
         self.metrics = metrics
         self.follows_store = follows_store
-        self.archive = CaseArchive(store, wall)
+        self.archive = CaseStore(store, wall)
         self.quarantine = Quarantine(self.archive, self, wall)
         self._told_at: dict[HostPort, float] = {}
         self._unkept = False
@@ -82,18 +82,19 @@
 
     # --- to the peers ---------------------------------------------------------------
 
-    def tell_owners(self, case: Case) -> None:
+    def send_to_owners(self, case: Case) -> None:
         """Tell the instances that a fingerprint falls to."""
         peers = {
-            view.state.sender.name: view.state.sender.address for view in self.table.live(steady())
+            view.state.sender.name: view.state.sender.address
+            for view in self.table.live_peers(steady())
         }
         for name in rendezvous(case.fingerprint, [self.name, *peers])[:_OWNERS]:
             if name != self.name:
                 self._send([case], peers[name])
 
-    def tell_all(self, cases: list[Case]) -> None:
+    def send_to_all(self, cases: list[Case]) -> None:
         """Tell all instances; one that misses it learns by the checksums."""
-        for view in self.table.live(steady()):
+        for view in self.table.live_peers(steady()):
             self._send(cases, view.state.sender.address)
 
     def _send(self, cases: list[Case], address: HostPort) -> None:
@@ -105,7 +106,7 @@
 
     def receive(self, message: SuspectCases, address: HostPort) -> None:
         """Take in what a peer knows, and tell it what it lacks."""
-        lacking = self.quarantine.learn(message.cases, message.sender)
+        lacking = self.quarantine.merge_cases(message.cases, message.sender)
         self._count()
         if lacking:
             self._send(lacking, address)
@@ -122,7 +123,7 @@
         if now - self._told_at.get(peer, float("-inf")) < _TELL_AGAIN_SECONDS:
             return
         self._told_at[peer] = now
-        self._send(self.quarantine.table.suspects(), peer)
+        self._send(self.quarantine.table.suspect_cases(), peer)
 
     # --- the store ------------------------------------------------------------------
 
@@ -130,7 +131,7 @@
         """Whether the store answers calls from here."""
         return self.contact.answers
 
-    def keep(self) -> None:
+    def schedule_save(self) -> None:
         """Have the suspects written soon."""
         self._count()
         self._unkept = True
@@ -139,8 +140,8 @@
 
     def keep_again(self) -> None:
         """Have the suspects written once more: the store may have lost them."""
-        if self.quarantine.table.suspects():
-            self.keep()
+        if self.quarantine.table.suspect_cases():
+            self.schedule_save()
 
     def _keep_forever(self) -> None:
         while True:
@@ -154,11 +155,11 @@
                 self.contact.wait(_RARE_READ_SECONDS)
 
     def _write(self) -> bool:
-        stored = self.archive.write(self.quarantine.table.suspects())
+        stored = self.archive.write(self.quarantine.table.suspect_cases())
         if isinstance(stored, Failure):
             _log_not_kept("write", stored)
             return False
-        self.quarantine.learn(stored.unwrap(), "store")
+        self.quarantine.merge_cases(stored.unwrap(), "store")
         return True
 
     def _read_forever(self) -> None:
@@ -166,11 +167,11 @@
         missed_since = None
         while True:
             now = steady()
-            missing = bool(self.table.missing(now)) and self.follows_store()
+            missing = bool(self.table.silent_peers(now)) and self.follows_store()
             missed_since = (missed_since or now) if missing else None
             if not self._read_once or missing:
                 self._read_once = self._read() or self._read_once
-            self.quarantine.forget()
+            self.quarantine.remove_expired()
             self._count()
             often = missed_since is None or now - missed_since < _OFTEN_FOR_SECONDS
             eventlet.sleep(self._pause(often))
@@ -187,13 +188,13 @@
         if isinstance(stored, Failure):
             _log_not_kept("read", stored)
             return False
-        self.quarantine.learn_stored(stored.unwrap())
+        self.quarantine.merge_stored_cases(stored.unwrap())
         return True
 
     def _count(self) -> None:
         table = self.quarantine.table
-        self.metrics.suspected.set(len(table.suspects()))
-        self.metrics.quarantined.set(len(table.blamed()))
+        self.metrics.suspected.set(len(table.suspect_cases()))
+        self.metrics.quarantined.set(len(table.blamed_fingerprints()))
 
 
 def _log_not_kept(operation: str, result: Failure) -> None:
--- a/whinrack/edge/_tokens.py
+++ b/whinrack/edge/_tokens.py
@@ -10,12 +10,12 @@
 from whinrack.edge._options import EdgeOptions
 from whinrack.gossip import (
     DrawAccepted,
+    DrawCoordinator,
     DrawReply,
     DrawRequest,
-    FleetDrawer,
     GossipLink,
+    GossipTokenSource,
     Message,
-    PeerSpares,
     PeerState,
     PeerTable,
     ReleaseReply,
@@ -65,8 +65,10 @@
         self.link = link
         self.peers = peers
         drawer = AccountWriter(store, Semaphore, self._collect_orders, sleep=eventlet.sleep)
-        self.fleet = FleetDrawer(options.name, own_state, drawer, link, peers, options.draw_seconds)
-        self.spares = PeerSpares(holder, link, peers, options.gather_seconds, own_state)
+        self.fleet = DrawCoordinator(
+            options.name, own_state, drawer, link, peers, options.draw_seconds
+        )
+        self.spares = GossipTokenSource(holder, link, peers, options.gather_seconds, own_state)
         self.keeper = GrantManager(
             holder,
             _ACCOUNT,
@@ -83,19 +85,19 @@
         if isinstance(message, TokenReply):
             self._received(message)
         elif isinstance(message, DrawAccepted):
-            self.fleet.accepted(message)
+            self.fleet.handle_acceptance(message)
         elif isinstance(message, DrawReply | ReleaseReply):
-            self.fleet.replied(message)
+            self.fleet.handle_reply(message)
         elif isinstance(message, DrawRequest):
-            eventlet.spawn_n(self.fleet.requested, message, address)
+            eventlet.spawn_n(self.fleet.handle_draw_request, message, address)
         elif isinstance(message, ReleaseRequest):
-            eventlet.spawn_n(self.fleet.release_requested, message, address)
+            eventlet.spawn_n(self.fleet.handle_release_request, message, address)
         elif isinstance(message, TokenRequest) and message.giver == self.holder:
             eventlet.spawn_n(self._give, message, address)
 
     def tell_given(self) -> None:
         """Tell the peers once more what they were given: a stop makes it final."""
-        by_run = {view.state.incarnation: view for view in self.peers.live(steady())}
+        by_run = {view.state.incarnation: view for view in self.peers.live_peers(steady())}
         for given in self.keeper.given_totals():
             view = by_run.get(given.receiver)
             if view is not None:
@@ -105,7 +107,7 @@
     def _collect_orders(self, batch: OrderBatch) -> None:
         """Wait for others' orders before a write; in a large fleet reports wait longer."""
         eventlet.sleep(_COLLECT_SECONDS)
-        if self.peers.is_mesh:
+        if self.peers.is_full_mesh:
             return
         end = steady() + _REPORTS_SECONDS
         while not batch.is_urgent and steady() < end:
@@ -114,16 +116,16 @@
     def _received(self, reply: TokenReply) -> None:
         if reply.receiver == self.holder:
             self.keeper.receive(reply.budget, reply.giver, reply.total)
-            self.spares.replied(reply)
+            self.spares.handle_reply(reply)
 
     def _give(self, request: TokenRequest, address: tuple[str, int]) -> None:
         asked = (request.budget, request.receiver, request.already_received)
-        if request.supply:
-            total = self.keeper.give_as_supplier(*asked, request.need, request.wish)
+        if request.to_supplier:
+            total = self.keeper.give_as_supplier(*asked, request.need, request.want)
         else:
-            total = self.keeper.give(*asked, request.need, request.wish, request.draw)
+            total = self.keeper.give(*asked, request.need, request.want, request.allow_draw)
         reply = TokenReply(
-            question=request.question,
+            request_id=request.request_id,
             budget=request.budget,
             giver=self.holder,
             receiver=request.receiver,
@@ -131,7 +133,7 @@
             covering=self.keeper.unreported_use(request.budget),
         )
         self.link.send(reply, address)
-        if request.supply:
+        if request.to_supplier:
             self.keeper.draw_for_peer(request.budget, request.need)
 
 
--- a/whinrack/edge/_upkeep.py
+++ b/whinrack/edge/_upkeep.py
@@ -58,7 +58,7 @@
         log_event(
             Event.TRAFFIC,
             sent=self.traffic.summary(),
-            calls=self.store.summary(),
-            values=self.store.bytes_summary(),
-            malformed=self.link.malformed,
+            calls=self.store.format_calls(),
+            values=self.store.format_bytes(),
+            malformed=self.link.malformed_count,
         )
--- a/whinrack/edge/_upstream_selection.py
+++ b/whinrack/edge/_upstream_selection.py
@@ -11,7 +11,7 @@
 from whinrack.edge._options import HostPort
 from whinrack.edge._relay import PeerFeed
 from whinrack.edge._store_availability import StoreContact
-from whinrack.gossip import PeerState, PeerTable, prefer_strong
+from whinrack.gossip import PeerState, PeerTable, prefer_high_capacity
 from whinrack.http1 import ConnectionPool
 from whinrack.store import ObjectStore
 
@@ -47,7 +47,7 @@
     ready = [state for state in here if state.ready] or here
     if any(state.store_confirmed for state in states):
         ready = [state for state in ready if state.store_answers] or ready
-    by_name = {state.sender.name: state for state in prefer_strong(ready)}
+    by_name = {state.sender.name: state for state in prefer_high_capacity(ready)}
     ordered = rendezvous(f"watch/{hall}", by_name)
     return [by_name[name] for name in ordered[:_FEEDERS_OF_A_HALL]]
 
@@ -115,17 +115,17 @@
         6,503 calls of a day for 195 instances were watches and lists of its first 20 s.
         """
         end = steady() + self.settle_seconds
-        while self.peers.is_mesh and steady() < end:
+        while self.peers.is_full_mesh and steady() < end:
             eventlet.sleep(_POLL_SECONDS)
 
     def store_may_answer(self) -> bool:
         """Whether a peer has heard from the store lately."""
-        return bool(self.peers.with_store(steady()))
+        return bool(self.peers.peers_with_store(steady()))
 
     def source(self) -> FollowedSource:
         """Return whom to ask next."""
         now = steady()
-        if self.peers.is_mesh or (self.contact.answers and now < self._store_until):
+        if self.peers.is_full_mesh or (self.contact.answers and now < self._store_until):
             return FollowedSource(self.store)
         feeder = self._feeder(now)
         if feeder is None:
@@ -147,7 +147,7 @@
         One that says that it lost the store is kept: others are chosen as watchers by that
         word already, and in an outage for all there is nobody better.
         """
-        live = self.peers.live(steady())
+        live = self.peers.live_peers(steady())
         states = {view.state.sender.address: view.state for view in live}
         state = states.get(source.address)
         if state is None or state.store_answers:
@@ -160,7 +160,7 @@
     def _feeder(self, now: float) -> PeerState | None:
         """Return the peer that feeds this instance, None if it follows the store."""
         own = self.own_state()
-        states = [view.state for view in self.peers.live(now)]
+        states = [view.state for view in self.peers.live_peers(now)]
         usable = [state for state in states if self._avoided.get(state.sender.address, 0.0) <= now]
         feeders = {
             state.sender.name: state for state in choose_feeders([*usable, own], own.data_hall)
@@ -186,5 +186,7 @@
 
     def _hall_of(self, address: HostPort, now: float) -> str | None:
         """Return the data hall of the live peer at an address, None if there is none."""
-        halls = {view.state.sender.address: view.state.data_hall for view in self.peers.live(now)}
+        halls = {
+            view.state.sender.address: view.state.data_hall for view in self.peers.live_peers(now)
+        }
         return halls.get(address)
--- a/whinrack/edge/tests/peer_world.py
+++ b/whinrack/edge/tests/peer_world.py
@@ -47,4 +47,4 @@
         for peer in peers:
             address = PeerAddress(f"p{peer}", f"10.0.1.{peer}", 7340)
             state = ready_state(address, sequence=int(self.now * 10), **fields)
-            self.table.heard(Heartbeat(state=state, number=int(self.now * 10)), self.now)
+            self.table.record_heartbeat(Heartbeat(state=state, number=int(self.now * 10)), self.now)
--- a/whinrack/edge/tests/test_feeding.py
+++ b/whinrack/edge/tests/test_feeding.py
@@ -31,12 +31,12 @@
 class Peers:
     """The peers of a large fleet."""
 
-    is_mesh = False
+    is_full_mesh = False
 
     def __init__(self, *states):
         self.states = list(states)
 
-    def live(self, now):
+    def live_peers(self, now):
         return [PeerView(each, now) for each in self.states]
 
 
@@ -121,7 +121,7 @@
     began = steady()
     feeding.settle()
     assert steady() - began < 1.0
-    feeding.peers.is_mesh = True
+    feeding.peers.is_full_mesh = True
     feeding.settle_seconds = 0.1
     feeding.settle()
     assert 0.1 <= steady() - began < 2.0
--- a/whinrack/edge/tests/test_knowledge.py
+++ b/whinrack/edge/tests/test_knowledge.py
@@ -15,7 +15,7 @@
 from whinrack.edge._readers import ConfigurationReader, TargetReader
 from whinrack.edge._store_availability import StoreContact
 from whinrack.exceptions import PlatformUnavailable
-from whinrack.gossip import GoneTarget
+from whinrack.gossip import RemovedTarget
 from whinrack.http1 import ServerLimits
 from whinrack.store import StoredObject, compose_revision
 
@@ -155,13 +155,13 @@
 
 def test_what_a_peer_knows_to_be_gone_takes_no_work_here():
     world = known_world("t1", "t2")
-    world.knowledge.learn_gone([GoneTarget("t2", 2), GoneTarget("unknown", 9)])
+    world.knowledge.learn_gone([RemovedTarget("t2", 2), RemovedTarget("unknown", 9)])
     assert world.targets() == {"t1"}
 
 
 def test_a_target_whose_record_is_back_is_not_gone():
     world = known_world("t1")
-    world.knowledge.learn_gone([GoneTarget("t1", 0)])
+    world.knowledge.learn_gone([RemovedTarget("t1", 0)])
     assert world.targets() == {"t1"}
 
 
@@ -169,7 +169,7 @@
     world, now = known_world("t1", "t2"), [100.0]
     monkeypatch.setattr("whinrack.edge._knowledge.steady", lambda: now[0])
     world.knowledge._change_targets((StoredObject("target", "t2", 7, deleted=True),))
-    assert world.knowledge.gone_lately() == [GoneTarget("t2", 7)]
+    assert world.knowledge.gone_lately() == [RemovedTarget("t2", 7)]
     now[0] += 5.0
     assert world.knowledge.gone_lately() == []
 
@@ -323,6 +323,6 @@
     listed(world, 2, "t")
     late = stored("target", "t", "leaving", compose_revision(1, 99))
     world.knowledge._change_targets((late,), "peer")
-    world.knowledge.learn_gone([GoneTarget("t", compose_revision(1, 99))])
+    world.knowledge.learn_gone([RemovedTarget("t", compose_revision(1, 99))])
     assert world.targets() == {"t"}
     assert not world.registry.leaving_records()
--- a/whinrack/edge/tests/test_membership.py
+++ b/whinrack/edge/tests/test_membership.py
@@ -117,7 +117,7 @@
 
 
 def halls_told_of(member, message):
-    digests = {view.state.digest: view.state.data_hall for view in member.table.live(0.0)}
+    digests = {view.state.digest: view.state.data_hall for view in member.table.live_peers(0.0)}
     return {digests[digest] for digest in message.ages}
 
 
@@ -132,7 +132,7 @@
 def test_one_peer_is_asked_for_the_states_that_are_lacking(membership):
     membership._receive(beat(0, number=2, ages={1234: 10}), None)
     membership.beat()
-    asked = [address for message, address in membership.link.sent if message.asks_for_states]
+    asked = [address for message, address in membership.link.sent if message.requests_states]
     assert len(asked) == 1
 
 
@@ -190,7 +190,7 @@
     membership._receive(beat(3, run=2, store_confirmed=True), None)
     membership.host.answers = False
     membership._receive(beat(4, run=2, store_confirmed=True), None)
-    assert len(membership.table.with_store(steady())) == 2
+    assert len(membership.table.peers_with_store(steady())) == 2
     assert membership.host.store_heard == 0
 
 
--- a/whinrack/edge/tests/test_missing_peers.py
+++ b/whinrack/edge/tests/test_missing_peers.py
@@ -19,7 +19,7 @@
         while self.now < end:
             self.now += 0.5
             self.hear(*heard)
-            self.table.receivers(self.now)
+            self.table.next_receivers(self.now)
             _ = self.peers.misses
 
 
@@ -36,8 +36,8 @@
 def test_one_that_falls_silent_is_missed_longer_than_the_table_knows_it(world):
     world.pass_time(2.0, 1, 2)
     world.pass_time(100.0, 1)
-    assert {view.state.sender.name for view in world.table.live(world.now)} == {"p1"}
-    assert world.table.missing(world.now) == []
+    assert {view.state.sender.name for view in world.table.live_peers(world.now)} == {"p1"}
+    assert world.table.silent_peers(world.now) == []
     assert not world.peers.is_whole
     world.pass_time(1.0, 1, 2)
     assert world.peers.is_whole
--- a/whinrack/edge/tests/test_shared_retries.py
+++ b/whinrack/edge/tests/test_shared_retries.py
@@ -48,8 +48,8 @@
             for taker, member in enumerate(self.members):
                 for giver in range(_INSTANCES):
                     if giver != taker and reaches(giver, taker):
-                        member.table.heard(self.beat(giver), self.now)
-                member.table.receivers(self.now)
+                        member.table.record_heartbeat(self.beat(giver), self.now)
+                member.table.next_receivers(self.now)
                 member.sharing_instances()
 
     def beat(self, number):
--- a/whinrack/edge/tests/test_store_tasks.py
+++ b/whinrack/edge/tests/test_store_tasks.py
@@ -9,7 +9,7 @@
 from whinrack.edge._relay import KindRelay
 from whinrack.edge._store_availability import StoreContact
 from whinrack.exceptions import PlatformUnavailable
-from whinrack.store import StoredObject, WatchBatch, lost_reply
+from whinrack.store import StoredObject, WatchBatch, lost_reply_failure
 
 
 def follower(store, seen, probes=True, contact=None):
@@ -135,7 +135,7 @@
 
 
 def lost():
-    return lost_reply("GET", "no answer")
+    return lost_reply_failure("GET", "no answer")
 
 
 def test_a_lost_answer_is_asked_for_again_before_the_store_counts_as_lost():
--- a/whinrack/edge/tests/test_suspects.py
+++ b/whinrack/edge/tests/test_suspects.py
@@ -10,11 +10,11 @@
 from whinrack.edge._suspects import SuspectExchange
 from whinrack.gossip import Heartbeat, PeerAddress, PeerState, PeerTable
 from whinrack.observability import Metrics
-from whinrack.quarantine import RequestName, TargetEnd
+from whinrack.quarantine import RequestSignature, TargetEnd
 from whinrack.quarantine._table import CaseTable
 
 NAMES = [f"m{number}" for number in range(6)]
-REQUEST = RequestName("deadly", "w", "r")
+REQUEST = RequestSignature("deadly", "w", "r")
 
 
 class Network:
@@ -53,7 +53,7 @@
             load=0,
             configuration=1,
         )
-        table.heard(Heartbeat(state=state, number=1), steady())
+        table.record_heartbeat(Heartbeat(state=state, number=1), steady())
     return table
 
 
@@ -80,11 +80,11 @@
 
 
 def end(network, name, target, request=REQUEST):
-    network.exchanges[name].quarantine.target_ended(TargetEnd(target), [request])
+    network.exchanges[name].quarantine.record_target_end(TargetEnd(target), [request])
 
 
 def kept_out(network):
-    return [name for name in NAMES if network.exchanges[name].quarantine.kept_out()]
+    return [name for name in NAMES if network.exchanges[name].quarantine.quarantined_cases()]
 
 
 def test_a_single_end_goes_to_the_three_owners_only(network):
@@ -101,7 +101,7 @@
 
 def test_many_requests_at_one_end_cost_few_messages(network):
     for number in range(64):
-        end(network, "m0", "a", RequestName(f"f{number}", "w", "r"))
+        end(network, "m0", "a", RequestSignature(f"f{number}", "w", "r"))
     assert len(network.sent) <= 64 * 3
 
 
@@ -128,10 +128,10 @@
     network.cut_off = set(NAMES)
     for number in range(200):
         for target in ("a", "b"):
-            end(network, "m0", target, RequestName(f"f{number}", "w", "r"))
+            end(network, "m0", target, RequestSignature(f"f{number}", "w", "r"))
     network.cut_off, network.sent[:] = set(), []
     network.exchanges["m0"].compare(0, ("m1", 1))
-    told = network.exchanges["m1"].quarantine.table.suspects()
+    told = network.exchanges["m1"].quarantine.table.suspect_cases()
     assert len(told) == 200
 
 
@@ -152,13 +152,13 @@
     eventlet.sleep(0.3)
     network.exchanges["m2"].quarantine.table = CaseTable()
     assert network.exchanges["m2"]._read()
-    assert len(network.exchanges["m2"].quarantine.table.suspects()) == 1
+    assert len(network.exchanges["m2"].quarantine.table.suspect_cases()) == 1
 
 
 def test_single_ends_cost_no_call_to_the_store(network, store, tasks):
     calls = store.calls
     for number in range(64):
-        end(network, "m0", "a", RequestName(f"f{number}", "w", "r"))
+        end(network, "m0", "a", RequestSignature(f"f{number}", "w", "r"))
     eventlet.sleep(0.3)
     assert store.calls == calls
 
--- a/whinrack/feed/__init__.py
+++ b/whinrack/feed/__init__.py
@@ -1,5 +1,5 @@
 """Configuration: taken from the platform or from peers, and followed."""
 
-from whinrack.feed._store import ConfigStore, ConfigView
+from whinrack.feed._config_store import ConfigStore, ConfigView
 
 __all__ = ["ConfigStore", "ConfigView"]
--- a/whinrack/feed/_store.py
+++ b/whinrack/feed/_config_store.py
@@ -26,7 +26,7 @@
         """Return an object's spec, None if there is none."""
         return self._specs[kind.__name__].get(name)
 
-    def all(self, kind: type[Spec]) -> dict[str, Spec]:
+    def specs_of_kind(self, kind: type[Spec]) -> dict[str, Spec]:
         """Return the specs of a kind by name."""
         return self._specs[kind.__name__]
 
@@ -56,11 +56,11 @@
         self._versions: list[tuple[int, str, str]] = []
 
     @property
-    def newest(self) -> int:
+    def newest_version(self) -> int:
         """Version of the newest object in force; the same at daemons that agree."""
         return self._newest
 
-    def take(self, stored: StoredObject) -> bool:
+    def apply_object(self, stored: StoredObject) -> bool:
         """Take in one object; False if it isn't newer than what is here."""
         key = (stored.kind, stored.name)
         held = self._stored.get(key)
@@ -74,15 +74,15 @@
         self._apply(stored)
         return True
 
-    def take_batch(self, revision: int, objects: Iterable[StoredObject]) -> int:
+    def apply_batch(self, revision: int, objects: Iterable[StoredObject]) -> int:
         """Take in changes up to a revision; returns how many were new."""
-        taken = [stored.kind for stored in objects if self.take(stored)]
+        taken = [stored.kind for stored in objects if self.apply_object(stored)]
         self.revision = max(self.revision, revision)
         if taken:
             self.on_change(set(taken))
         return len(taken)
 
-    def take_snapshot(self, revision: int, objects: Iterable[StoredObject]) -> int:
+    def apply_snapshot(self, revision: int, objects: Iterable[StoredObject]) -> int:
         """Take in everything there is at a revision.
 
         What is here, not in the snapshot and not newer than it was deleted meanwhile.
@@ -94,7 +94,7 @@
             for key, held in self._stored.items()
             if key not in present and held.version <= revision and not held.deleted
         ]
-        return self.take_batch(revision, [*objects, *gone])
+        return self.apply_batch(revision, [*objects, *gone])
 
     def changes_after(self, revision: int) -> list[StoredObject]:
         """Return the objects whose last change is after a revision, deletions too."""
--- a/whinrack/feed/tests/test_feed.py
+++ b/whinrack/feed/tests/test_feed.py
@@ -40,17 +40,17 @@
     for _ in range(data.draw(st.integers(1, 8))):
         revision = data.draw(st.integers(0, len(changes)))
         if data.draw(st.booleans()):
-            store.take_snapshot(revision, state_at(changes, revision))
+            store.apply_snapshot(revision, state_at(changes, revision))
         else:
             since = data.draw(st.integers(0, revision))
             if since <= store.revision:
-                store.take_batch(revision, changes[since:revision])
+                store.apply_batch(revision, changes[since:revision])
         versions = store.versions()
         for name in NAMES:
             version = versions.get(f"Workspace/{name}", seen[name])
             assert version >= seen[name]
             seen[name] = version
-    store.take_snapshot(len(changes), state_at(changes, len(changes)))
+    store.apply_snapshot(len(changes), state_at(changes, len(changes)))
     expected = {stored.name: stored.version for stored in state_at(changes, len(changes))}
     assert store.versions() == {f"Workspace/{n}": v for n, v in expected.items()}
 
@@ -58,18 +58,18 @@
 def test_changes_after_a_revision_are_complete_and_in_order():
     store = ConfigStore()
     changes = history([("u", False), ("v", False), ("u", False), ("w", True)])
-    store.take_batch(4, changes)
+    store.apply_batch(4, changes)
     assert [stored.version for stored in store.changes_after(0)] == [2, 3, 4]
     assert [stored.version for stored in store.changes_after(3)] == [4]
     follower = ConfigStore()
-    follower.take_batch(store.revision, store.changes_after(0))
+    follower.apply_batch(store.revision, store.changes_after(0))
     assert follower.versions() == store.versions()
 
 
 def test_an_invalid_object_leaves_the_last_good_one_in_force():
     refused = []
     store = ConfigStore(on_invalid=lambda stored, error: refused.append(error.message))
-    store.take(StoredObject("Workspace", "w", 1, msgspec.Raw(VALUES[1])))
-    store.take(StoredObject("Workspace", "w", 2, msgspec.Raw(b'{"weighting":"x"}')))
+    store.apply_object(StoredObject("Workspace", "w", 1, msgspec.Raw(VALUES[1])))
+    store.apply_object(StoredObject("Workspace", "w", 2, msgspec.Raw(b'{"weighting":"x"}')))
     assert store.get(Workspace, "w").weighting == "false_refusals"
     assert "weighting" in refused[0]
--- a/whinrack/gossip/__init__.py
+++ b/whinrack/gossip/__init__.py
@@ -1,40 +1,45 @@
 """Datagrams between instances: who is there, who is leaving, and spare tokens."""
 
-from whinrack.gossip._clocks import ClockCheck
-from whinrack.gossip._drawers import FleetDrawer
+from whinrack.gossip._capacity import (
+    Capacity,
+    has_high_capacity,
+    max_capacity,
+    prefer_high_capacity,
+)
+from whinrack.gossip._clock_check import ClockCheck
+from whinrack.gossip._draw_coordinator import DrawCoordinator
 from whinrack.gossip._link import GossipLink
 from whinrack.gossip._messages import (
     DrawAccepted,
     DrawReply,
     DrawRequest,
-    GoneTarget,
     Heartbeat,
     Message,
     PeerAddress,
     PeerState,
     ReleaseReply,
     ReleaseRequest,
+    RemovedTarget,
     SuspectCases,
     TargetLoads,
     TokenReply,
     TokenRequest,
 )
 from whinrack.gossip._peers import PeerTable, PeerView
-from whinrack.gossip._spares import PeerSpares
-from whinrack.gossip._strength import Strength, is_strong, prefer_strong, strongest
+from whinrack.gossip._token_source import GossipTokenSource
 
 __all__ = [
     "ClockCheck",
     "DrawAccepted",
     "DrawReply",
     "DrawRequest",
-    "FleetDrawer",
-    "GoneTarget",
+    "DrawCoordinator",
+    "RemovedTarget",
     "GossipLink",
     "Heartbeat",
     "Message",
     "PeerAddress",
-    "PeerSpares",
+    "GossipTokenSource",
     "PeerState",
     "PeerTable",
     "PeerView",
@@ -44,8 +49,8 @@
     "TargetLoads",
     "TokenReply",
     "TokenRequest",
-    "Strength",
-    "is_strong",
-    "prefer_strong",
-    "strongest",
+    "Capacity",
+    "has_high_capacity",
+    "prefer_high_capacity",
+    "max_capacity",
 ]
--- a/whinrack/gossip/_clocks.py
+++ b/whinrack/gossip/_clock_check.py
@@ -43,11 +43,11 @@
     def __init__(self):
         self._clocks: dict[str, _PeerClock] = {}
 
-    def heard(self, peer: str, wall: float, steady: float) -> None:
+    def record_peer_time(self, peer: str, wall: float, steady: float) -> None:
         """Take in a peer's time of day from a heartbeat that has just arrived."""
         self._clocks.setdefault(peer, _PeerClock()).record(wall, steady)
 
-    def agrees(self, wall: float, steady: float) -> bool:
+    def is_confirmed_by_peers(self, wall: float, steady: float) -> bool:
         """Whether most peers agree with the time of day here."""
         own = wall - steady
         fresh = [
--- a/whinrack/gossip/_drawers.py
+++ b/whinrack/gossip/_draw_coordinator.py
@@ -11,6 +11,7 @@
 from whinrack.budgets import AccountBackend, DrawOrder, DrawResult, ReleasedRow, RunRelease
 from whinrack.clock import steady
 from whinrack.exceptions import PlatformFailure, PlatformUnavailable
+from whinrack.gossip._capacity import prefer_high_capacity
 from whinrack.gossip._link import GossipLink
 from whinrack.gossip._messages import (
     DrawAccepted,
@@ -21,9 +22,8 @@
     ReleaseRequest,
 )
 from whinrack.gossip._peers import PeerTable, PeerView
-from whinrack.gossip._strength import prefer_strong
 
-__all__ = ["FleetDrawer"]
+__all__ = ["DrawCoordinator"]
 
 # For so long an instance that didn't reply isn't asked again.
 _AVOID_SECONDS = 2.0
@@ -64,7 +64,7 @@
         return self.accepted.ready() and not self.reply.ready()
 
 
-class FleetDrawer(AccountBackend):
+class DrawCoordinator(AccountBackend):
     """Sends orders to the instance that writes an account, or writes them itself.
 
     Who that is follows from the names of the instances that look alive and reach the
@@ -81,7 +81,7 @@
         Writes to the store from here.
     link : GossipLink
     peers : PeerTable
-    patience : float
+    accept_timeout : float
         Seconds to wait until the writer accepts orders before writing from here.
     """
 
@@ -92,14 +92,14 @@
         local: AccountBackend,
         link: GossipLink,
         peers: PeerTable,
-        patience: float,
+        accept_timeout: float,
     ):
         self.name = name
         self.own_state = own_state
         self.local = local
         self.link = link
         self.peers = peers
-        self.patience = patience
+        self.accept_timeout = accept_timeout
         self._numbers = itertools.count(1)
         self._open: dict[int, _Question] = {}
         self._avoided: dict[str, float] = {}
@@ -156,41 +156,41 @@
             self._avoided[writer.state.sender.name] = steady() + _AVOID_SECONDS
         return write_here()
 
-    def requested(self, request: DrawRequest, address: tuple[str, int]) -> None:
+    def handle_draw_request(self, request: DrawRequest, address: tuple[str, int]) -> None:
         """Write a peer's orders; after a failure the peer writes by itself."""
         if not request.orders:
             return
-        self.link.send(DrawAccepted(request.question), address)
+        self.link.send(DrawAccepted(request.request_id), address)
         books = self.local.draw_for_holder(request.orders).value_or(None)
-        self.link.send(DrawReply(request.question, books), address)
+        self.link.send(DrawReply(request.request_id, books), address)
 
-    def release_requested(self, request: ReleaseRequest, address: tuple[str, int]) -> None:
+    def handle_release_request(self, request: ReleaseRequest, address: tuple[str, int]) -> None:
         """Give back what earlier runs of a peer held; after a failure the peer tries again."""
-        self.link.send(DrawAccepted(request.question), address)
+        self.link.send(DrawAccepted(request.request_id), address)
         rows = self.local.release_runs(request.account, request.release).value_or(None)
-        self.link.send(ReleaseReply(request.question, rows), address)
+        self.link.send(ReleaseReply(request.request_id, rows), address)
 
-    def accepted(self, message: DrawAccepted) -> None:
+    def handle_acceptance(self, message: DrawAccepted) -> None:
         """Learn that a writer has orders of this instance."""
-        question = self._open.get(message.question)
+        question = self._open.get(message.request_id)
         if question is not None:
             question.accept()
 
-    def replied(self, reply: DrawReply | ReleaseReply) -> None:
+    def handle_reply(self, reply: DrawReply | ReleaseReply) -> None:
         """Take in a reply; one that comes too late is dropped, the books keep it."""
-        question = self._open.get(reply.question)
+        question = self._open.get(reply.request_id)
         if question is not None:
-            question.answer(reply.books if isinstance(reply, DrawReply) else reply.rows)
+            question.answer(reply.results if isinstance(reply, DrawReply) else reply.rows)
 
     def _writer(self, account: str) -> PeerView | None:
         """Return the peer that writes an account, None if it is this instance."""
         now = steady()
         views = {
             view.state.sender.name: view
-            for view in self.peers.live(now)
+            for view in self.peers.live_peers(now)
             if view.state.store_confirmed and view.state.ready
         }
-        strong = {state.sender.name for state in prefer_strong(self._candidates(views))}
+        strong = {state.sender.name for state in prefer_high_capacity(self._candidates(views))}
         for name in rendezvous(account, strong):
             if name == self.name:
                 return None
@@ -212,7 +212,7 @@
         question = self._open[number] = _Question()
         try:
             self.link.send(request(number), writer.state.sender.address)
-            with Timeout(self.patience, False):
+            with Timeout(self.accept_timeout, False):
                 question.accepted.wait()
             if question.accepted.ready():
                 with Timeout(_WRITING_SECONDS, False):
--- a/whinrack/gossip/_link.py
+++ b/whinrack/gossip/_link.py
@@ -20,7 +20,7 @@
     ----------
     address : tuple of str and int
         Where to listen.
-    receive : callable
+    on_message : callable
         Called with each message and the address that it came from.
     sent : callable, optional
         Called with the name, the receiver's address and the bytes of each message sent.
@@ -34,13 +34,13 @@
     def __init__(
         self,
         address: tuple[str, int],
-        receive: Callable[[Message, tuple], None],
+        on_message: Callable[[Message, tuple], None],
         sent: Callable[[str, tuple, int], None] | None = None,
     ):
         self.address = address
-        self.receive = receive
+        self.on_message = on_message
         self.sent = sent
-        self.malformed = 0
+        self.malformed_count = 0
         self._encoder = msgspec.msgpack.Encoder()
         self._decoder = msgspec.msgpack.Decoder(Message)
         self._socket = None
@@ -79,6 +79,6 @@
             try:
                 message = self._decoder.decode(data)
             except msgspec.MsgspecError:
-                self.malformed += 1
+                self.malformed_count += 1
                 continue
-            self.receive(message, address)
+            self.on_message(message, address)
--- a/whinrack/gossip/_messages.py
+++ b/whinrack/gossip/_messages.py
@@ -11,7 +11,7 @@
     "DrawAccepted",
     "DrawReply",
     "DrawRequest",
-    "GoneTarget",
+    "RemovedTarget",
     "Heartbeat",
     "Message",
     "PeerAddress",
@@ -94,7 +94,7 @@
         return xxhash.xxh32_intdigest(self.incarnation.encode())
 
 
-class GoneTarget(msgspec.Struct, frozen=True, array_like=True):
+class RemovedTarget(msgspec.Struct, frozen=True, array_like=True):
     """A target whose record is gone, and the version that the record had last."""
 
     incarnation: str
@@ -137,18 +137,18 @@
 
     state: PeerState
     number: int = 0
-    wall: float = 0.0
-    leaving: list[str] = []
-    gone: list[GoneTarget] = []
+    wall_time: float = 0.0
+    leaving_targets: list[str] = []
+    removed_targets: list[RemovedTarget] = []
     peers: list[PeerAddress] = []
     passed_on: list[PeerState] = []
     ages: dict[int, int] = {}
-    asks_for_states: bool = False
-    suspects: int = 0
-    leaving_started: list[int] = []
-    halls: list[HallStatus] = []
-    limits: list[LimitReport] = []
-    misses_peers: bool = False
+    requests_states: bool = False
+    suspects_checksum: int = 0
+    leaving_start_times: list[int] = []
+    emptied_halls: list[HallStatus] = []
+    target_limits: list[LimitReport] = []
+    has_missing_peers: bool = False
 
 
 class TokenRequest(msgspec.Struct, frozen=True, array_like=True, tag="ask"):
@@ -170,15 +170,15 @@
         The peer draws this budget ahead and should reply at once with what it has.
     """
 
-    question: int
+    request_id: int
     budget: str
     receiver: str
     giver: str
     already_received: int
     need: int
-    wish: int
-    draw: bool = False
-    supply: bool = False
+    want: int
+    allow_draw: bool = False
+    to_supplier: bool = False
 
 
 class TokenReply(msgspec.Struct, frozen=True, array_like=True, tag="give"):
@@ -192,7 +192,7 @@
         Tokens of open requests at the giver, and of ended ones not in the books yet.
     """
 
-    question: int
+    request_id: int
     budget: str
     giver: str
     receiver: str
@@ -203,14 +203,14 @@
 class DrawRequest(msgspec.Struct, frozen=True, array_like=True, tag="draw"):
     """One holder's orders, for the peer that writes the books for all."""
 
-    question: int
+    request_id: int
     orders: list[DrawOrder]
 
 
 class DrawAccepted(msgspec.Struct, frozen=True, array_like=True, tag="taken"):
     """The writer has the orders and waits for the store."""
 
-    question: int
+    request_id: int
 
 
 class DrawReply(msgspec.Struct, frozen=True, array_like=True, tag="drawn"):
@@ -222,14 +222,14 @@
         None if the writer couldn't write; the orders may have been applied.
     """
 
-    question: int
-    books: dict[str, DrawResult] | None
+    request_id: int
+    results: dict[str, DrawResult] | None
 
 
 class ReleaseRequest(msgspec.Struct, frozen=True, array_like=True, tag="release"):
     """Asks the writer of an account to give back what earlier runs of the sender held."""
 
-    question: int
+    request_id: int
     account: str
     release: RunRelease
 
@@ -243,7 +243,7 @@
         None if the writer couldn't write; it may have been done all the same.
     """
 
-    question: int
+    request_id: int
     rows: list[ReleasedRow] | None
 
 
@@ -261,8 +261,8 @@
     """
 
     sender: str
-    counts: dict[int, int]
-    unread: dict[int, int] = {}
+    request_counts: dict[int, int]
+    unread_prompt_tokens: dict[int, int] = {}
 
 
 class SuspectCases(msgspec.Struct, frozen=True, array_like=True, tag="suspects"):
--- a/whinrack/gossip/_peers.py
+++ b/whinrack/gossip/_peers.py
@@ -69,8 +69,8 @@
         In other halls, or where nothing was heard from; these hear of the own hall only.
     """
 
-    near: list[tuple[str, int]]
-    far: list[tuple[str, int]]
+    own_hall: list[tuple[str, int]]
+    elsewhere: list[tuple[str, int]]
 
 
 class PeerTable:
@@ -114,20 +114,20 @@
         self._halls: dict[str, str] = {}
 
     @property
-    def is_mesh(self) -> bool:
+    def is_full_mesh(self) -> bool:
         """Whether the fleet is so small that all hear each other."""
         return len(self._views) < _FULL_MESH
 
-    def interval(self, seconds: float) -> float:
+    def heartbeat_interval(self, seconds: float) -> float:
         """Return the time between heartbeats, given that of a full mesh."""
-        return seconds if self.is_mesh else seconds * _SLOWER_BEATS
+        return seconds if self.is_full_mesh else seconds * _SLOWER_BEATS
 
     def add_addresses(self, addresses: Iterable[tuple[str, int]], now: float) -> None:
         """Learn where instances may be, from settings, a list or a peer."""
         for address in addresses:
             self._addresses.setdefault(address, now)
 
-    def heard(self, beat: Heartbeat, now: float) -> bool:
+    def record_heartbeat(self, beat: Heartbeat, now: float) -> bool:
         """Take in a heartbeat; True if the run wasn't known, or counted as gone."""
         if beat.state.sender.name == self.name or self._is_old(beat):
             return False
@@ -137,7 +137,7 @@
             view.number = beat.number
             view.heard_at = now
         self.add_addresses((peer.address for peer in beat.peers), now)
-        if self.is_mesh and len(beat.ages) < _FULL_MESH:
+        if self.is_full_mesh and len(beat.ages) < _FULL_MESH:
             addresses = (state.sender.address for state in beat.passed_on)
             self.add_addresses(addresses, now)
         else:
@@ -145,54 +145,54 @@
             self._learn_of_others(beat, now)
         return is_new
 
-    def hall_of(self, host: str) -> str | None:
+    def data_hall_of(self, host: str) -> str | None:
         """Return the data hall of the instance at an IP address, None if it isn't known."""
         return self._halls.get(host)
 
-    def take_lacking(self) -> bool:
+    def pop_missing_states_flag(self) -> bool:
         """Return whether states of live peers are lacking, once."""
         lacks, self._lacks_states = self._lacks_states, False
         return lacks
 
-    def live(self, now: float) -> list[PeerView]:
+    def live_peers(self, now: float) -> list[PeerView]:
         """Return the peers that were heard lately."""
         return [view for view in self._views.values() if self._is_live(view.heard_at, now)]
 
-    def missing(self, now: float) -> list[PeerView]:
+    def silent_peers(self, now: float) -> list[PeerView]:
         """Return the peers that fell silent and are not forgotten yet."""
         return [view for view in self._views.values() if not self._is_live(view.heard_at, now)]
 
-    def live_count(self, now: float) -> int:
+    def count_live_instances(self, now: float) -> int:
         """Return the number of instances that look alive, this one included."""
-        return 1 + len(self.live(now))
+        return 1 + len(self.live_peers(now))
 
-    def sharing_count(self, now: float) -> int:
+    def count_sharing_instances(self, now: float) -> int:
         """Return the number of instances that share the work, this one included.
 
         In a large fleet only some serve callers.
         """
-        if self.is_mesh:
-            return self.live_count(now)
-        return 1 + len(self.serving(now))
+        if self.is_full_mesh:
+            return self.count_live_instances(now)
+        return 1 + len(self.serving_peers(now))
 
     def ready(self, now: float) -> list[PeerView]:
         """Return the live peers to which callers may be sent."""
-        return [view for view in self.live(now) if view.state.ready]
+        return [view for view in self.live_peers(now) if view.state.ready]
 
-    def with_store(self, now: float) -> list[PeerView]:
+    def peers_with_store(self, now: float) -> list[PeerView]:
         """Return the live peers that reach the store; stopping ones only if no others do.
 
         Those that made no call lately are left out: in an outage of the store for all, a
         question to one of them would only wait in vain.
         """
-        reaching = [view for view in self.live(now) if view.state.store_confirmed]
+        reaching = [view for view in self.live_peers(now) if view.state.store_confirmed]
         return [view for view in reaching if view.state.ready] or reaching
 
-    def serving(self, now: float) -> list[PeerView]:
+    def serving_peers(self, now: float) -> list[PeerView]:
         """Return the live peers that serve callers."""
-        return [view for view in self.live(now) if view.state.serving]
+        return [view for view in self.live_peers(now) if view.state.serving]
 
-    def remembered(self, now: float, seconds: float) -> list[PeerView]:
+    def peers_heard_within(self, now: float, seconds: float) -> list[PeerView]:
         """Return the peers that were heard within some seconds, or look alive."""
         return [
             view
@@ -204,74 +204,74 @@
         """Whether a peer was heard lately."""
         return self._is_live(view.heard_at, now)
 
-    def holding(self, now: float) -> list[PeerView]:
+    def peers_with_tokens(self, now: float) -> list[PeerView]:
         """Return the live peers that may have unspent tokens, in a large fleet shuffled."""
-        live = self.live(now)
-        if self.is_mesh:
+        live = self.live_peers(now)
+        if self.is_full_mesh:
             return live
         holding = [view for view in live if view.state.holds_tokens]
         return self._random.sample(holding, len(holding))
 
     # --- sending -----------------------------------------------------------------
 
-    def receivers(self, now: float) -> Receivers:
+    def next_receivers(self, now: float) -> Receivers:
         """Return the addresses to send the next heartbeat to."""
         self._forget(now)
-        if self.is_mesh:
-            return Receivers(near=list(self._addresses), far=[])
-        live = self.live(now)
-        near = {view.state.sender.address for view in live if self.is_near(view.state)}
+        if self.is_full_mesh:
+            return Receivers(own_hall=list(self._addresses), elsewhere=[])
+        live = self.live_peers(now)
+        near = {view.state.sender.address for view in live if self.is_in_own_hall(view.state)}
         far = {view.state.sender.address for view in live} - near
         unheard = [address for address in self._addresses if address not in near | far]
         tried = self._random.sample(unheard, min(_UNHEARD_TRIED, len(unheard)))
         in_hall = max(_FANOUT_IN_HALL, _FANOUT - len(far))
         chosen = self._next_in_turn(self._near_turns, near, in_hall)
         others = self._next_in_turn(self._far_turns, far, _FANOUT - len(chosen))
-        return Receivers(near=chosen, far=[*others, *tried])
+        return Receivers(own_hall=chosen, elsewhere=[*others, *tried])
 
-    def is_near(self, state: PeerState) -> bool:
+    def is_in_own_hall(self, state: PeerState) -> bool:
         """Whether an instance is in the own data hall."""
         return self.data_hall is None or state.data_hall == self.data_hall
 
-    def near_only(self, states: Iterable[PeerState]) -> list[PeerState]:
+    def own_hall_only(self, states: Iterable[PeerState]) -> list[PeerState]:
         """Return those of some instances that are in the own data hall."""
-        return [state for state in states if self.is_near(state)]
+        return [state for state in states if self.is_in_own_hall(state)]
 
-    def addresses(self, now: float) -> list[PeerAddress]:
+    def live_addresses(self, now: float) -> list[PeerAddress]:
         """Return live peers' addresses, for peers that don't know them."""
-        if not self.is_mesh:
+        if not self.is_full_mesh:
             return []
-        return [view.state.sender for view in self.live(now)]
+        return [view.state.sender for view in self.live_peers(now)]
 
-    def states(self, now: float) -> list[PeerState]:
+    def live_states(self, now: float) -> list[PeerState]:
         """Return the states of all live peers, for a peer that lacks some."""
-        return [] if self.is_mesh else [view.state for view in self.live(now)]
+        return [] if self.is_full_mesh else [view.state for view in self.live_peers(now)]
 
-    def news(self, now: float) -> list[PeerState]:
+    def take_states_to_pass_on(self, now: float) -> list[PeerState]:
         """Return states that are to be passed on, those told least often first."""
-        if self.is_mesh:
+        if self.is_full_mesh:
             return []
-        fresh = [view for view in self.live(now) if view.passed_on < _TIMES_PASSED_ON]
+        fresh = [view for view in self.live_peers(now) if view.passed_on < _TIMES_PASSED_ON]
         chosen = sorted(fresh, key=lambda view: view.passed_on)[:_MOST_PASSED_ON]
         for view in chosen:
             view.passed_on += 1
         return [view.state for view in chosen]
 
-    def ages(self, now: float, near_only: bool = False) -> dict[int, int]:
+    def ages(self, now: float, own_hall_only: bool = False) -> dict[int, int]:
         """Return how long ago live peers were heard, see `Heartbeat`.
 
         Parameters
         ----------
-        near_only : bool
+        own_hall_only : bool
             Tell of the own data hall only.
         """
-        if self.is_mesh:
+        if self.is_full_mesh:
             return {}
         return {
             digest: round((now - view.heard_at) * _AGE_UNITS)
             for digest, name in self._names.items()
             if self._is_live((view := self._views[name]).heard_at, now)
-            and (not near_only or self.is_near(view.state))
+            and (not own_hall_only or self.is_in_own_hall(view.state))
         }
 
     # --- learning ----------------------------------------------------------------
@@ -330,7 +330,7 @@
 
     def _forget(self, now: float) -> None:
         """Drop what nothing was heard of for long."""
-        for view in self.live(now):
+        for view in self.live_peers(now):
             self._addresses[view.state.sender.address] = now
         for address, seen in list(self._addresses.items()):
             if now - seen > self.forget_seconds:
@@ -356,6 +356,6 @@
 
     def _is_live(self, heard_at: float, now: float) -> bool:
         longest = self.silent_seconds
-        if not self.is_mesh:
+        if not self.is_full_mesh:
             longest *= _LONGER_SILENCE
         return now - heard_at <= longest
--- a/whinrack/gossip/_spares.py
+++ b/whinrack/gossip/_token_source.py
@@ -10,12 +10,12 @@
 from whinrack.base import rendezvous
 from whinrack.budgets import SpareTokenSource, TransferTotal
 from whinrack.clock import steady
+from whinrack.gossip._capacity import prefer_high_capacity
 from whinrack.gossip._link import GossipLink
 from whinrack.gossip._messages import PeerState, TokenReply, TokenRequest
 from whinrack.gossip._peers import PeerTable, PeerView
-from whinrack.gossip._strength import prefer_strong
 
-__all__ = ["PeerSpares"]
+__all__ = ["GossipTokenSource"]
 
 # A lender has to write to the store before it replies.
 _BORROW_FACTOR = 10
@@ -44,7 +44,7 @@
             self.done.send(None)
 
 
-class PeerSpares(SpareTokenSource):
+class GossipTokenSource(SpareTokenSource):
     """The spare tokens of the peers that are heard.
 
     Parameters
@@ -53,7 +53,7 @@
         This run.
     link : GossipLink
     peers : PeerTable
-    patience : float
+    reply_timeout : float
         Seconds to wait for the replies.
     own_state : callable
         Returns what this instance says of itself.
@@ -64,14 +64,14 @@
         holder: str,
         link: GossipLink,
         peers: PeerTable,
-        patience: float,
+        reply_timeout: float,
         own_state: Callable[[], PeerState],
     ):
         self.holder = holder
         self.own_state = own_state
         self.link = link
         self.peers = peers
-        self.patience = patience
+        self.reply_timeout = reply_timeout
         self._numbers = itertools.count(1)
         self._open: dict[int, _Question] = {}
         self._avoided: dict[str, float] = {}
@@ -93,9 +93,9 @@
         supplier = self._supplier(budget)
         if supplier is None:
             return []
-        request = self._request(budget, need, wish, supply=True)
+        request = self._request(budget, need, wish, to_supplier=True)
         for factor in _SUPPLY_FACTORS:
-            replies = self._ask([supplier], request, received, factor * self.patience)
+            replies = self._ask([supplier], request, received, factor * self.reply_timeout)
             if replies:
                 return replies
         self._avoided[supplier.state.incarnation] = steady() + _AVOID_SECONDS
@@ -122,48 +122,48 @@
         if own.ready or not states:
             states.append(own)
         # Wide links are those of the strong instances; whom callers use changes too often.
-        names = [state.sender.name for state in prefer_strong(states)]
+        names = [state.sender.name for state in prefer_high_capacity(states)]
         return views.get(rendezvous(f"supply/{budget}", names)[0])
 
     def request_from_peers(
         self, budget: str, need: int, wish: int, received: dict[str, int]
     ) -> list[TransferTotal]:
         """Ask every peer that may hold some for what is needed; returns what each gave in all."""
-        views = self.peers.holding(steady())[:_MOST_ASKED]
+        views = self.peers.peers_with_tokens(steady())[:_MOST_ASKED]
         request = self._request(budget, need, wish)
-        return self._ask(views, request, received, self.patience)
+        return self._ask(views, request, received, self.reply_timeout)
 
     def peer_count(self) -> int:
         """Return how many peers `gather` asks now."""
-        return min(_MOST_ASKED, len(self.peers.holding(steady())))
+        return min(_MOST_ASKED, len(self.peers.peers_with_tokens(steady())))
 
     def request_peer_draw(
         self, budget: str, need: int, wish: int, received: dict[str, int]
     ) -> list[TransferTotal]:
         """Ask one peer that reaches the store to draw what is needed."""
-        reaching = self.peers.with_store(steady())
+        reaching = self.peers.peers_with_store(steady())
         views = {view.state.sender.name: view for view in reaching}
         if not views:
             return []
         lender = rendezvous(f"{self.holder}/{budget}", views)[0]
-        request = self._request(budget, need, wish, draw=True)
-        return self._ask([views[lender]], request, received, _BORROW_FACTOR * self.patience)
+        request = self._request(budget, need, wish, allow_draw=True)
+        return self._ask([views[lender]], request, received, _BORROW_FACTOR * self.reply_timeout)
 
-    def replied(self, reply: TokenReply) -> None:
+    def handle_reply(self, reply: TokenReply) -> None:
         """Wake the asker with the last reply."""
-        question = self._open.get(reply.question)
+        question = self._open.get(reply.request_id)
         if question is not None:
             question.add(reply)
 
     def _request(self, budget: str, need: int, wish: int, **flags: bool) -> TokenRequest:
         return TokenRequest(
-            question=next(self._numbers),
+            request_id=next(self._numbers),
             budget=budget,
             receiver=self.holder,
             giver="",
             already_received=0,
             need=need,
-            wish=wish,
+            want=wish,
             **flags,
         )
 
@@ -176,7 +176,7 @@
     ) -> list[TransferTotal]:
         if not views:
             return []
-        question = self._open[request.question] = _Question(len(views))
+        question = self._open[request.request_id] = _Question(len(views))
         try:
             for view in views:
                 giver = view.state.incarnation
@@ -187,5 +187,5 @@
             with Timeout(patience, False):
                 question.done.wait()
         finally:
-            del self._open[request.question]
+            del self._open[request.request_id]
         return list(question.replies.values())
--- a/whinrack/gossip/tests/test_clocks.py
+++ b/whinrack/gossip/tests/test_clocks.py
@@ -13,7 +13,7 @@
     for beat in range(beats):
         for number, difference in enumerate(differences):
             steady = beat * 0.25
-            check.heard(f"p{number}", TRUE_TIME + steady - delay + difference, steady)
+            check.record_peer_time(f"p{number}", TRUE_TIME + steady - delay + difference, steady)
     return check
 
 
@@ -30,22 +30,22 @@
     ],
 )
 def test_most_peers_and_two_at_least_have_to_agree(differences, own, trusted):
-    assert heard(differences).agrees(TRUE_TIME + 1.0 + own, 1.0) is trusted
+    assert heard(differences).is_confirmed_by_peers(TRUE_TIME + 1.0 + own, 1.0) is trusted
 
 
 def test_an_own_jump_is_seen_before_the_next_heartbeat():
     check = heard([0.0, 0.0, 0.0])
-    assert check.agrees(TRUE_TIME + 1.0, 1.0)
-    assert not check.agrees(TRUE_TIME + 1.01 + 2.4, 1.01)
+    assert check.is_confirmed_by_peers(TRUE_TIME + 1.0, 1.0)
+    assert not check.is_confirmed_by_peers(TRUE_TIME + 1.01 + 2.4, 1.01)
 
 
 def test_the_least_delayed_of_the_last_heartbeats_counts():
     check = heard([0.0, 0.0])
     for peer in ("p0", "p1"):
-        check.heard(peer, TRUE_TIME + 0.2, 1.2)
-    assert check.agrees(TRUE_TIME + 1.2, 1.2)
+        check.record_peer_time(peer, TRUE_TIME + 0.2, 1.2)
+    assert check.is_confirmed_by_peers(TRUE_TIME + 1.2, 1.2)
 
 
 def test_late_heartbeats_and_silence_only_make_it_doubt():
-    assert not heard([0.0, 0.0], delay=1.0).agrees(TRUE_TIME + 1.0, 1.0)
-    assert not heard([0.0, 0.0]).agrees(TRUE_TIME + 9.0, 9.0)
+    assert not heard([0.0, 0.0], delay=1.0).is_confirmed_by_peers(TRUE_TIME + 1.0, 1.0)
+    assert not heard([0.0, 0.0]).is_confirmed_by_peers(TRUE_TIME + 9.0, 9.0)
--- a/whinrack/gossip/tests/test_drawers.py
+++ b/whinrack/gossip/tests/test_draw_coordinator.py
@@ -15,9 +15,9 @@
 from whinrack.exceptions import PlatformUnavailable
 from whinrack.gossip import (
     DrawAccepted,
+    DrawCoordinator,
     DrawReply,
     DrawRequest,
-    FleetDrawer,
     Heartbeat,
     PeerAddress,
     PeerState,
@@ -72,19 +72,21 @@
 @pytest.fixture
 def world(monkeypatch):
     """Two instances; the account's writer is the other one."""
-    monkeypatch.setattr("whinrack.gossip._drawers.steady", lambda: 0.0)
-    monkeypatch.setattr("whinrack.gossip._drawers.rendezvous", lambda key, names: sorted(names))
+    monkeypatch.setattr("whinrack.gossip._draw_coordinator.steady", lambda: 0.0)
+    monkeypatch.setattr(
+        "whinrack.gossip._draw_coordinator.rendezvous", lambda key, names: sorted(names)
+    )
     peers, link, books = PeerTable("m1", 1.0, 10.0), Link(), Books()
     own_state = lambda: beat("m1", bandwidth=WIDE).state  # noqa: E731
-    drawer = FleetDrawer("m1", own_state, books, link, peers, patience=0.05)
+    drawer = DrawCoordinator("m1", own_state, books, link, peers, accept_timeout=0.05)
     return drawer, peers, link, books
 
 
 def test_the_writer_writes_for_the_others(world):
     drawer, peers, link, books = world
-    peers.heard(beat("m0"), 0.0)
-    link.deliver = lambda request: drawer.replied(
-        DrawReply(request.question, {"b": DrawResult(drawn=9)})
+    peers.record_heartbeat(beat("m0"), 0.0)
+    link.deliver = lambda request: drawer.handle_reply(
+        DrawReply(request.request_id, {"b": DrawResult(drawn=9)})
     )
     assert drawer.draw_for_holder(ORDERS).unwrap()["b"].drawn == 9
     assert books.written == []
@@ -92,7 +94,7 @@
 
 def test_without_a_reply_an_instance_writes_by_itself_and_asks_another_for_a_while(world):
     drawer, peers, link, books = world
-    peers.heard(beat("m0"), 0.0)
+    peers.record_heartbeat(beat("m0"), 0.0)
     assert drawer.draw_for_holder(ORDERS).unwrap()["b"].drawn == 5
     drawer.draw_for_holder(ORDERS)
     assert (len(link.sent), len(books.written)) == (1, 2)
@@ -100,12 +102,12 @@
 
 def test_a_second_writer_is_asked_before_an_instance_writes_beside_it(world):
     drawer, peers, link, books = world
-    peers.heard(beat("m00"), 0.0)
-    peers.heard(beat("m01"), 0.0)
+    peers.record_heartbeat(beat("m00"), 0.0)
+    peers.record_heartbeat(beat("m01"), 0.0)
 
     def only_the_second_replies(request):
         if len(link.sent) > 1:
-            drawer.replied(DrawReply(request.question, {"b": DrawResult(drawn=9)}))
+            drawer.handle_reply(DrawReply(request.request_id, {"b": DrawResult(drawn=9)}))
 
     link.deliver = only_the_second_replies
     assert drawer.draw_for_holder(ORDERS).unwrap()["b"].drawn == 9
@@ -115,30 +117,30 @@
 @pytest.mark.parametrize("changes", [{"store_confirmed": False}, {"ready": False}])
 def test_an_instance_out_of_reach_or_stopping_is_no_writer(world, changes):
     drawer, peers, link, _ = world
-    peers.heard(beat("m0", **changes), 0.0)
+    peers.record_heartbeat(beat("m0", **changes), 0.0)
     drawer.draw_for_holder(ORDERS)
     assert link.sent == []
 
 
 def test_a_late_reply_is_dropped(world):
     drawer, *_ = world
-    drawer.replied(DrawReply(77, {}))
+    drawer.handle_reply(DrawReply(77, {}))
 
 
 def slow_writer(drawer, link, seconds, books):
     """A writer that accepts orders at once and tells their outcome later."""
 
     def deliver(request):
-        drawer.accepted(DrawAccepted(request.question))
+        drawer.handle_acceptance(DrawAccepted(request.request_id))
         eventlet.sleep(seconds)
-        drawer.replied(DrawReply(request.question, books))
+        drawer.handle_reply(DrawReply(request.request_id, books))
 
     link.deliver = deliver
 
 
 def test_a_writer_that_waits_for_a_slow_store_is_waited_for(world):
     drawer, peers, link, books = world
-    peers.heard(beat("m0"), 0.0)
+    peers.record_heartbeat(beat("m0"), 0.0)
     slow_writer(drawer, link, 0.2, {"b": DrawResult(drawn=9)})
     assert drawer.draw_for_holder(ORDERS).unwrap()["b"].drawn == 9
     assert books.written == []
@@ -146,7 +148,7 @@
 
 def test_a_writer_that_failed_says_so_and_is_avoided(world):
     drawer, peers, link, books = world
-    peers.heard(beat("m0"), 0.0)
+    peers.record_heartbeat(beat("m0"), 0.0)
     slow_writer(drawer, link, 0.0, None)
     assert drawer.draw_for_holder(ORDERS).unwrap()["b"].drawn == 5
     drawer.draw_for_holder(ORDERS)
@@ -156,22 +158,22 @@
 def test_a_writer_accepts_before_it_writes_and_tells_a_failure(world):
     drawer, _, link, books = world
     books.draw_for_holder = lambda orders: Failure(PlatformUnavailable("down"))
-    drawer.requested(DrawRequest(3, ORDERS), ("m1", 1))
+    drawer.handle_draw_request(DrawRequest(3, ORDERS), ("m1", 1))
     assert link.sent == [DrawAccepted(3), DrawReply(3, None)]
 
 
 def test_an_instance_with_a_narrow_link_does_not_write_for_others(world):
     drawer, peers, link, books = world
-    peers.heard(beat("m0", bandwidth=NARROW), 0.0)
+    peers.record_heartbeat(beat("m0", bandwidth=NARROW), 0.0)
     drawer.draw_for_holder(ORDERS)
     assert (link.sent, books.written) == ([], [ORDERS])
 
 
 def test_a_writer_that_is_slow_is_left_alone(world, monkeypatch):
     """Instances that write beside a slow writer collide with it and slow it down further."""
-    monkeypatch.setattr("whinrack.gossip._drawers._WRITING_SECONDS", 0.05)
+    monkeypatch.setattr("whinrack.gossip._draw_coordinator._WRITING_SECONDS", 0.05)
     drawer, peers, link, books = world
-    peers.heard(beat("m0"), 0.0)
+    peers.record_heartbeat(beat("m0"), 0.0)
     slow_writer(drawer, link, 0.2, {"b": DrawResult(drawn=9)})
     assert isinstance(drawer.draw_for_holder(ORDERS), Failure)
     assert books.written == []
@@ -179,8 +181,8 @@
 
 def test_the_writer_gives_back_what_earlier_runs_of_others_held(world):
     drawer, peers, link, books = world
-    peers.heard(beat("m0"), 0.0)
-    link.deliver = lambda request: drawer.replied(ReleaseReply(request.question, [ROW]))
+    peers.record_heartbeat(beat("m0"), 0.0)
+    link.deliver = lambda request: drawer.handle_reply(ReleaseReply(request.request_id, [ROW]))
     assert drawer.release_runs("a", RELEASE).unwrap() == [ROW]
     assert (link.sent, books.written) == ([ReleaseRequest(1, "a", RELEASE)], [])
 
@@ -193,5 +195,5 @@
 
 def test_a_writer_tells_what_it_gave_back_for_a_peer(world):
     drawer, _, link, _ = world
-    drawer.release_requested(ReleaseRequest(4, "a", RELEASE), ("m1", 1))
+    drawer.handle_release_request(ReleaseRequest(4, "a", RELEASE), ("m1", 1))
     assert link.sent == [DrawAccepted(4), ReleaseReply(4, [ROW])]
--- a/whinrack/gossip/tests/test_link.py
+++ b/whinrack/gossip/tests/test_link.py
@@ -51,7 +51,7 @@
     whole = msgspec.msgpack.encode(heartbeat())
     hear(link, b"", b"\xff\xfe", whole[:-3], whole + b"x", b"\x91\xa5other", whole)
     assert len(link.heard) == 1
-    assert link.malformed == 5
+    assert link.malformed_count == 5
 
 
 def test_messages_of_an_older_and_of_a_newer_version_are_understood(link):
@@ -59,7 +59,7 @@
     newer = msgspec.msgpack.encode(["loads", "b", {7: 2}, {7: 300}, "more"])
     hear(link, older, newer)
     assert link.heard == [TargetLoads("b", {7: 2}), TargetLoads("b", {7: 2}, {7: 300})]
-    assert link.malformed == 0
+    assert link.malformed_count == 0
 
 
 def test_heartbeats_with_states_are_counted_apart(link):
--- a/whinrack/gossip/tests/test_peers.py
+++ b/whinrack/gossip/tests/test_peers.py
@@ -44,8 +44,8 @@
 
 def addresses_of(peers, now):
     """Return all addresses that the next heartbeat goes to."""
-    receivers = peers.receivers(now)
-    return [*receivers.near, *receivers.far]
+    receivers = peers.next_receivers(now)
+    return [*receivers.own_hall, *receivers.elsewhere]
 
 
 def names(views):
@@ -54,41 +54,41 @@
 
 def test_a_peer_is_live_until_it_is_silent():
     peers = table()
-    assert peers.heard(beat(), 0.0)
-    assert names(peers.live(1.0)) == ["b"]
-    assert peers.live(1.1) == []
-    assert peers.live_count(1.1) == 1
+    assert peers.record_heartbeat(beat(), 0.0)
+    assert names(peers.live_peers(1.0)) == ["b"]
+    assert peers.live_peers(1.1) == []
+    assert peers.count_live_instances(1.1) == 1
 
 
 def test_an_instance_is_no_peer_of_its_own():
-    assert not table().heard(beat(name="a"), 0.0)
+    assert not table().record_heartbeat(beat(name="a"), 0.0)
 
 
 def test_old_and_doubled_heartbeats_change_nothing():
     peers = table()
-    peers.heard(beat(sequence=5, ready=False), 0.0)
-    assert not peers.heard(beat(sequence=4), 0.5)
+    peers.record_heartbeat(beat(sequence=5, ready=False), 0.0)
+    assert not peers.record_heartbeat(beat(sequence=4), 0.5)
     assert peers.ready(0.5) == []
-    assert peers.live(1.2) == []
+    assert peers.live_peers(1.2) == []
 
 
 def test_a_new_run_is_news_though_its_numbers_begin_anew():
     peers = table()
-    peers.heard(beat(sequence=50), 0.0)
-    assert peers.heard(beat(run="2", sequence=1), 0.1)
-    assert [view.state.incarnation for view in peers.live(0.1)] == ["b.2"]
+    peers.record_heartbeat(beat(sequence=50), 0.0)
+    assert peers.record_heartbeat(beat(run="2", sequence=1), 0.1)
+    assert [view.state.incarnation for view in peers.live_peers(0.1)] == ["b.2"]
 
 
 def test_only_ready_peers_are_named_to_callers():
     peers = table()
-    peers.heard(beat(), 0.0)
-    peers.heard(beat(name="c", ready=False, port=10), 0.0)
+    peers.record_heartbeat(beat(), 0.0)
+    peers.record_heartbeat(beat(name="c", ready=False, port=10), 0.0)
     assert names(peers.ready(0.0)) == ["b"]
 
 
 def test_peers_of_peers_get_heartbeats_too():
     peers = table()
-    peers.heard(beat(peers=[PeerAddress("c", "127.0.0.2", 9)]), 0.0)
+    peers.record_heartbeat(beat(peers=[PeerAddress("c", "127.0.0.2", 9)]), 0.0)
     assert set(addresses_of(peers, 0.0)) == {("127.0.0.1", 9), ("127.0.0.2", 9)}
 
 
@@ -103,40 +103,42 @@
     """Return a table that has heard so many peers that the fleet is no full mesh."""
     peers = PeerTable("a", silent_seconds=1.0, forget_seconds=10.0, seed=seed)
     for number in range(size):
-        peers.heard(beat(name=f"p{number}", port=number), 0.0)
+        peers.record_heartbeat(beat(name=f"p{number}", port=number), 0.0)
     return peers
 
 
 def test_in_a_full_mesh_only_what_is_heard_directly_is_live():
     peers = table()
-    peers.heard(beat(**of_age(10, state(name="c", port=10))), 0.0)
-    assert names(peers.live(0.0)) == ["b"]
+    peers.record_heartbeat(beat(**of_age(10, state(name="c", port=10))), 0.0)
+    assert names(peers.live_peers(0.0)) == ["b"]
     assert ("127.0.0.1", 10) in addresses_of(peers, 0.0)
-    assert (peers.news(0.0), peers.ages(0.0)) == ([], {})
+    assert (peers.take_states_to_pass_on(0.0), peers.ages(0.0)) == ([], {})
 
 
 def view_of(peers, name, now):
-    (view,) = [view for view in peers.live(now) if view.state.sender.name == name]
+    (view,) = [view for view in peers.live_peers(now) if view.state.sender.name == name]
     return view
 
 
 def test_in_a_large_fleet_each_hears_of_others():
     peers = large_table()
-    peers.heard(beat(name="p0", port=0, sequence=2, **of_age(50, state(name="c", port=99))), 1.0)
+    peers.record_heartbeat(
+        beat(name="p0", port=0, sequence=2, **of_age(50, state(name="c", port=99))), 1.0
+    )
     assert view_of(peers, "c", 1.0).heard_at == 0.5
 
 
 def test_one_answer_of_a_peer_that_knows_a_large_fleet_is_enough_to_know_it():
     peers = table()
     others = [state(name=f"p{number}", port=number) for number in range(20)]
-    peers.heard(beat(**of_age(10, *others)), 0.0)
-    assert len(peers.live(0.0)) == 21
-    assert not peers.is_mesh
+    peers.record_heartbeat(beat(**of_age(10, *others)), 0.0)
+    assert len(peers.live_peers(0.0)) == 21
+    assert not peers.is_full_mesh
 
 
 def test_what_is_passed_on_grows_old_on_the_way():
     peers = large_table()
-    peers.heard(beat(name="p0", port=0, sequence=2), 2.0)
+    peers.record_heartbeat(beat(name="p0", port=0, sequence=2), 2.0)
     ages = peers.ages(2.5)
     assert ages.pop(state(name="p0").digest) == 50
     assert set(ages.values()) == {250}
@@ -145,16 +147,16 @@
 def test_a_word_of_a_known_state_keeps_its_instance_alive():
     peers = large_table()
     known = {state(name="p3").digest: 10}
-    peers.heard(beat(name="p0", port=0, sequence=2, ages=known), 4.5)
-    assert sorted(names(peers.live(5.0))) == ["p0", "p3"]
-    assert not peers.take_lacking()
+    peers.record_heartbeat(beat(name="p0", port=0, sequence=2, ages=known), 4.5)
+    assert sorted(names(peers.live_peers(5.0))) == ["p0", "p3"]
+    assert not peers.pop_missing_states_flag()
 
 
 def test_a_word_of_an_unknown_run_shows_that_its_state_is_lacking():
     peers = large_table()
-    peers.heard(beat(name="p0", port=0, sequence=2, ages={1234: 10}), 0.5)
-    assert peers.take_lacking()
-    assert not peers.take_lacking()
+    peers.record_heartbeat(beat(name="p0", port=0, sequence=2, ages={1234: 10}), 0.5)
+    assert peers.pop_missing_states_flag()
+    assert not peers.pop_missing_states_flag()
 
 
 def test_once_all_states_were_told_a_word_of_this_instance_itself_lacks_nothing():
@@ -162,27 +164,29 @@
     peers = large_table()
     own = [state(name="a", run=run, port=90) for run in ("1", "2")]
     ages = {each.digest: 10 for each in own}
-    peers.heard(beat(name="p0", port=0, sequence=2, passed_on=own, ages=ages), 0.5)
-    peers.take_lacking()
-    peers.heard(beat(name="p0", port=0, sequence=3, ages=ages), 1.0)
-    assert not peers.take_lacking()
+    peers.record_heartbeat(beat(name="p0", port=0, sequence=2, passed_on=own, ages=ages), 0.5)
+    peers.pop_missing_states_flag()
+    peers.record_heartbeat(beat(name="p0", port=0, sequence=3, ages=ages), 1.0)
+    assert not peers.pop_missing_states_flag()
 
 
 def test_two_instances_that_know_everybody_ask_for_all_states_once_at_most():
     one, other = (PeerTable(name, 1.0, 10.0, seed=1) for name in ("p0", "p1"))
     for table_ in (one, other):
         for number in range(30):
-            table_.heard(beat(name=f"p{number}", port=number), 0.0)
+            table_.record_heartbeat(beat(name=f"p{number}", port=number), 0.0)
     asked = 0
     for turn in range(1, 10):
         now = turn * 0.1
         for asker, answerer, number in ((one, other, 1), (other, one, 0)):
             message = _beat_of(answerer, number, 2 * turn, now)
-            asker.heard(message, now)
-            if asker.take_lacking():
+            asker.record_heartbeat(message, now)
+            if asker.pop_missing_states_flag():
                 asked += 1
-                asker.heard(_beat_of(answerer, number, 2 * turn + 1, now, whole=True), now)
-                asker.take_lacking()
+                asker.record_heartbeat(
+                    _beat_of(answerer, number, 2 * turn + 1, now, whole=True), now
+                )
+                asker.pop_missing_states_flag()
     assert asked <= 2
 
 
@@ -191,26 +195,26 @@
     one, other = large_table(seed=1), large_table(seed=2)
     for turn in range(1, 40):
         now = turn * 0.2
-        one.heard(beat(name="x", port=70, sequence=turn, ages=other.ages(now)), now)
-        other.heard(beat(name="y", port=71, sequence=turn, ages=one.ages(now)), now)
-    assert set(names(one.live(8.0))) <= {"x", "y"}
+        one.record_heartbeat(beat(name="x", port=70, sequence=turn, ages=other.ages(now)), now)
+        other.record_heartbeat(beat(name="y", port=71, sequence=turn, ages=one.ages(now)), now)
+    assert set(names(one.live_peers(8.0))) <= {"x", "y"}
 
 
 def test_an_older_run_that_is_told_late_does_not_replace_a_newer_one():
     peers = large_table()
-    peers.heard(beat(name="p0", port=0, run="2", sequence=1), 1.0)
+    peers.record_heartbeat(beat(name="p0", port=0, run="2", sequence=1), 1.0)
     late = state(name="p0", port=0, run="1", sequence=9)
-    peers.heard(beat(name="p1", port=1, sequence=2, **of_age(30, late)), 1.1)
+    peers.record_heartbeat(beat(name="p1", port=1, sequence=2, **of_age(30, late)), 1.1)
     assert view_of(peers, "p0", 1.1).state.incarnation == "p0.2"
 
 
 def test_a_state_is_passed_on_some_times_and_again_when_it_changes():
     peers = large_table(size=20)
     for _ in range(4):
-        assert len(peers.news(0.0)) == 20
-    assert peers.news(0.0) == []
-    peers.heard(beat(name="p7", port=7, sequence=2, ready=False), 0.1)
-    (news,) = peers.news(0.1)
+        assert len(peers.take_states_to_pass_on(0.0)) == 20
+    assert peers.take_states_to_pass_on(0.0) == []
+    peers.record_heartbeat(beat(name="p7", port=7, sequence=2, ready=False), 0.1)
+    (news,) = peers.take_states_to_pass_on(0.1)
     assert (news.sender.name, news.ready) == ("p7", False)
 
 
@@ -231,15 +235,15 @@
 
 def test_work_is_shared_by_those_that_serve_in_a_large_fleet_and_by_all_in_a_small_one():
     small, large = table(), large_table()
-    small.heard(beat(), 0.0)
-    assert small.sharing_count(0.0) == 2
-    assert large.sharing_count(0.0) == 1
-    large.heard(beat(name="p0", port=0, sequence=2, serving=True), 0.1)
-    assert large.sharing_count(0.1) == 2
+    small.record_heartbeat(beat(), 0.0)
+    assert small.count_sharing_instances(0.0) == 2
+    assert large.count_sharing_instances(0.0) == 1
+    large.record_heartbeat(beat(name="p0", port=0, sequence=2, serving=True), 0.1)
+    assert large.count_sharing_instances(0.1) == 2
 
 
 def halls_of(peers, addresses, now):
-    halls = {view.state.sender.address: view.state.data_hall for view in peers.live(now)}
+    halls = {view.state.sender.address: view.state.data_hall for view in peers.live_peers(now)}
     return [halls[address] for address in addresses]
 
 
@@ -247,46 +251,48 @@
     """Return an instance's table that has heard all of a fleet in several data halls."""
     peers = PeerTable("a", 1.0, 10.0, seed=1, data_hall="h0")
     for number in range(halls * of_each):
-        peers.heard(beat(name=f"p{number}", port=number, data_hall=f"h{number % halls}"), 0.0)
+        peers.record_heartbeat(
+            beat(name=f"p{number}", port=number, data_hall=f"h{number % halls}"), 0.0
+        )
     return peers
 
 
 def test_most_heartbeats_of_a_large_fleet_stay_in_the_data_hall():
     peers = fleet_in_halls()
     for _ in range(40):
-        receivers = peers.receivers(0.0)
-        assert halls_of(peers, receivers.near, 0.0) == ["h0"] * 5
-        assert len(receivers.far) == 1
-        assert "h0" not in halls_of(peers, receivers.far, 0.0)
+        receivers = peers.next_receivers(0.0)
+        assert halls_of(peers, receivers.own_hall, 0.0) == ["h0"] * 5
+        assert len(receivers.elsewhere) == 1
+        assert "h0" not in halls_of(peers, receivers.elsewhere, 0.0)
 
 
 def test_all_other_halls_get_heartbeats_in_turn():
     peers = fleet_in_halls(of_each=10)
-    far = [address for _ in range(40) for address in peers.receivers(0.0).far]
+    far = [address for _ in range(40) for address in peers.next_receivers(0.0).elsewhere]
     assert len(set(far)) == 40
 
 
 def test_an_instance_alone_in_its_hall_sends_all_heartbeats_to_others():
     peers = PeerTable("a", 1.0, 10.0, seed=1, data_hall="h0")
     for number in range(30):
-        peers.heard(beat(name=f"p{number}", port=number, data_hall="h1"), 0.0)
-    receivers = peers.receivers(0.0)
-    assert (len(receivers.near), len(receivers.far)) == (0, 6)
+        peers.record_heartbeat(beat(name=f"p{number}", port=number, data_hall="h1"), 0.0)
+    receivers = peers.next_receivers(0.0)
+    assert (len(receivers.own_hall), len(receivers.elsewhere)) == (0, 6)
 
 
 def test_a_hall_without_others_gets_all_heartbeats():
     peers = PeerTable("a", 1.0, 10.0, seed=1, data_hall="h")
     for number in range(30):
-        peers.heard(beat(name=f"p{number}", port=number), 0.0)
-    receivers = peers.receivers(0.0)
-    assert (len(receivers.near), len(receivers.far)) == (6, 0)
+        peers.record_heartbeat(beat(name=f"p{number}", port=number), 0.0)
+    receivers = peers.next_receivers(0.0)
+    assert (len(receivers.own_hall), len(receivers.elsewhere)) == (6, 0)
 
 
 def test_another_hall_is_told_of_the_own_hall_only():
     peers = fleet_in_halls()
     assert len(peers.ages(0.0)) == 100
-    assert len(peers.ages(0.0, near_only=True)) == 20
-    told = peers.near_only(peers.states(0.0))
+    assert len(peers.ages(0.0, own_hall_only=True)) == 20
+    told = peers.own_hall_only(peers.live_states(0.0))
     assert {state.data_hall for state in told} == {"h0"}
 
 
@@ -307,10 +313,12 @@
             message = _beat_of(table_, number, 2 * turn, now)
             for address in addresses_of(table_, now):
                 heard, other = by_address[address], address[1]
-                if heard.heard(message, now) or message.asks_for_states:
+                if heard.record_heartbeat(message, now) or message.requests_states:
                     # A newcomer is answered at once.
-                    table_.heard(_beat_of(heard, other, 2 * turn + 1, now, whole=True), now)
-        fewest_live.append(min(table_.live_count(now) for table_ in tables))
+                    table_.record_heartbeat(
+                        _beat_of(heard, other, 2 * turn + 1, now, whole=True), now
+                    )
+        fewest_live.append(min(table_.count_live_instances(now) for table_ in tables))
     assert fewest_live[8] == size
     assert min(fewest_live[8:]) == size
 
@@ -323,9 +331,9 @@
     for number, table_ in enumerate(tables):
         for other in range(size):
             if other != number:
-                table_.heard(beat(name=f"p{other}", port=other), 0.0)
+                table_.record_heartbeat(beat(name=f"p{other}", port=other), 0.0)
         for _ in range(4):
-            table_.news(0.0)
+            table_.take_states_to_pass_on(0.0)
     for turn in range(1, 11):
         now = turn * 0.5
         for number, table_ in enumerate(tables):
@@ -334,7 +342,7 @@
             told = msgspec.structs.replace(message.state, sequence=1 if ready else 2, ready=ready)
             message = msgspec.structs.replace(message, state=told)
             for address in addresses_of(table_, now):
-                by_address[address].heard(message, now)
+                by_address[address].record_heartbeat(message, now)
     behind = [n for n in range(1, size) if view_of(tables[n], "p0", 5.0).state.ready]
     assert behind == []
 
@@ -345,11 +353,11 @@
         port=number,
         number=turn,
         data_hall=peers.data_hall or "h",
-        peers=peers.addresses(now),
-        passed_on=peers.states(now) if whole else peers.news(now),
+        peers=peers.live_addresses(now),
+        passed_on=peers.live_states(now) if whole else peers.take_states_to_pass_on(now),
         ages=peers.ages(now),
     )
-    return msgspec.structs.replace(message, asks_for_states=peers.take_lacking())
+    return msgspec.structs.replace(message, requests_states=peers.pop_missing_states_flag())
 
 
 def test_in_halls_all_hear_of_all_though_other_halls_are_told_of_the_own_hall_only():
@@ -367,10 +375,10 @@
                 if lost.random() < 0.05 or address[1] == number:
                     continue
                 hearer = tables[address[1]]
-                if hearer.heard(message, now) or message.asks_for_states:
+                if hearer.record_heartbeat(message, now) or message.requests_states:
                     whole = _beat_of(hearer, address[1], 2 * turn + 1, now, whole=True)
-                    tables[number].heard(whole, now)
-        fewest_live.append(min(table_.live_count(now) for table_ in tables))
+                    tables[number].record_heartbeat(whole, now)
+        fewest_live.append(min(table_.count_live_instances(now) for table_ in tables))
     assert fewest_live[7] == size
     assert min(fewest_live[7:]) == size
 
@@ -380,12 +388,12 @@
     message = _beat_of(peers, number, turn, now)
     brief = msgspec.structs.replace(
         message,
-        passed_on=peers.near_only(message.passed_on),
-        ages=peers.ages(now, near_only=True),
+        passed_on=peers.own_hall_only(message.passed_on),
+        ages=peers.ages(now, own_hall_only=True),
     )
-    receivers = peers.receivers(now)
-    near = [(address, message) for address in receivers.near]
-    return near + [(address, brief) for address in receivers.far]
+    receivers = peers.next_receivers(now)
+    near = [(address, message) for address in receivers.own_hall]
+    return near + [(address, brief) for address in receivers.elsewhere]
 
 
 def test_an_instance_that_ended_is_named_nowhere_soon_after_not_even_by_hearsay():
@@ -399,7 +407,7 @@
     for number, table_ in enumerate(tables):
         for other in range(size):
             if other != number:
-                table_.heard(beat(name=f"p{other}", port=other), 0.0)
+                table_.record_heartbeat(beat(name=f"p{other}", port=other), 0.0)
     for turn in range(1, 15):
         now = turn * 0.5
         if turn == 2:
@@ -413,8 +421,10 @@
                 hearer, other = tables[address[1]], address[1]
                 if other == ended:
                     continue
-                if hearer.heard(message, now) or message.asks_for_states:
-                    table_.heard(_beat_of(hearer, other, 2 * turn + 1, now, whole=True), now)
+                if hearer.record_heartbeat(message, now) or message.requests_states:
+                    table_.record_heartbeat(
+                        _beat_of(hearer, other, 2 * turn + 1, now, whole=True), now
+                    )
     naming = [
         number
         for number, table_ in enumerate(tables)
--- a/whinrack/gossip/tests/test_spares.py
+++ b/whinrack/gossip/tests/test_token_source.py
@@ -4,7 +4,7 @@
 
 from whinrack.base import rendezvous
 from whinrack.clock import steady
-from whinrack.gossip import Heartbeat, PeerAddress, PeerSpares, PeerState, PeerTable
+from whinrack.gossip import GossipTokenSource, Heartbeat, PeerAddress, PeerState, PeerTable
 
 BUDGET = "b"
 
@@ -39,10 +39,12 @@
 
 @pytest.fixture
 def world(monkeypatch):
-    monkeypatch.setattr("whinrack.gossip._spares.steady", lambda: 0.0)
+    monkeypatch.setattr("whinrack.gossip._token_source.steady", lambda: 0.0)
     peers, link = PeerTable("a", 1.0, 10.0), Link()
     return (
-        PeerSpares("a.1", link, peers, patience=0.001, own_state=lambda: beat("a").state),
+        GossipTokenSource(
+            "a.1", link, peers, reply_timeout=0.001, own_state=lambda: beat("a").state
+        ),
         peers,
         link,
     )
@@ -51,7 +53,7 @@
 def lend(world, *beats):
     spares, peers, link = world
     for heartbeat in beats:
-        peers.heard(heartbeat, 0.0)
+        peers.record_heartbeat(heartbeat, 0.0)
     spares.request_peer_draw(BUDGET, 10, 0, {})
     return link.asked
 
@@ -72,8 +74,10 @@
 def test_in_a_large_fleet_only_those_that_hold_tokens_are_asked():
     peers, link = PeerTable("me", 1.0, 10.0), Link()
     for number in range(30):
-        peers.heard(beat(f"p{number}", holds_tokens=number < 3), steady())
-    spares = PeerSpares("me.1", link, peers, patience=0.0, own_state=lambda: beat("me").state)
+        peers.record_heartbeat(beat(f"p{number}", holds_tokens=number < 3), steady())
+    spares = GossipTokenSource(
+        "me.1", link, peers, reply_timeout=0.0, own_state=lambda: beat("me").state
+    )
     spares.request_from_peers(BUDGET, 1, 0, {})
     assert sorted(link.asked) == ["p0", "p1", "p2"]
     assert spares.peer_count() == 3
@@ -82,7 +86,7 @@
 def supplier_asked(world, budget, *beats):
     spares, peers, link = world
     for heartbeat in beats:
-        peers.heard(heartbeat, 0.0)
+        peers.record_heartbeat(heartbeat, 0.0)
     spares.request_from_supplier(budget, 10, 0, {})
     return link.asked
 
@@ -123,7 +127,7 @@
 def test_instances_with_narrow_links_supply_nothing(world):
     spares, peers, _ = world
     for name, bandwidth in (("b", 5.0), ("c", 100.0), ("d", 100.0)):
-        peers.heard(beat(name, bandwidth=bandwidth), 0.0)
+        peers.record_heartbeat(beat(name, bandwidth=bandwidth), 0.0)
     spares.own_state = lambda: beat("a", bandwidth=5.0).state
     assert {spares.supplier(f"b{number}") for number in range(20)} == {"c", "d"}
 
@@ -131,5 +135,5 @@
 def test_the_supplier_is_told_to_the_log(world):
     (own, *_) = budgets_of("a", ["a", "c"])
     (other, *_) = budgets_of("c", ["a", "c"])
-    world[1].heard(beat("c"), 0.0)
+    world[1].record_heartbeat(beat("c"), 0.0)
     assert (world[0].supplier(own), world[0].supplier(other)) == ("", "c")
--- a/whinrack/gossip/tests/test_versions.py
+++ b/whinrack/gossip/tests/test_versions.py
@@ -40,10 +40,10 @@
     beat = Heartbeat(
         state=STATE,
         number=3,
-        leaving=["t"],
-        suspects=7,
-        leaving_started=[5],
-        halls=[HallStatus("z", 4, True)],
+        leaving_targets=["t"],
+        suspects_checksum=7,
+        leaving_start_times=[5],
+        emptied_halls=[HallStatus("z", 4, True)],
     )
     read = msgspec.msgpack.decode(msgspec.msgpack.encode(beat), type=EarlierHeartbeat)
     assert (read.number, read.leaving) == (3, ["t"])
@@ -53,14 +53,18 @@
     assert len(EarlierHeartbeat.__struct_fields__) == _EARLIER_FIELDS
     beat = EarlierHeartbeat(state=STATE, number=3, leaving=["t"])
     read = msgspec.msgpack.decode(msgspec.msgpack.encode(beat), type=Message)
-    assert (read.leaving, read.leaving_started, read.suspects) == (["t"], [], 0)
-    assert read.halls == []
+    assert (read.leaving_targets, read.leaving_start_times, read.suspects_checksum) == (
+        ["t"],
+        [],
+        0,
+    )
+    assert read.emptied_halls == []
 
 
 def test_words_on_halls_travel_with_a_heartbeat():
     words = [HallStatus("z", 4, True), HallStatus("odd \u20ac\u0001", 9, False)]
-    beat = Heartbeat(state=STATE, halls=words)
-    assert msgspec.msgpack.decode(msgspec.msgpack.encode(beat), type=Message).halls == words
+    beat = Heartbeat(state=STATE, emptied_halls=words)
+    assert msgspec.msgpack.decode(msgspec.msgpack.encode(beat), type=Message).emptied_halls == words
 
 
 def test_a_message_that_an_earlier_version_does_not_know_is_none_of_its_own():
--- a/whinrack/membership/_members.py
+++ b/whinrack/membership/_members.py
@@ -54,7 +54,7 @@
         self._listed: dict[str, InstanceRecord] = {}
         self._leaving_instances: dict[str, float] = {}
 
-    def heard(self, member: Member, now: float) -> bool:
+    def record_heartbeat(self, member: Member, now: float) -> bool:
         """Take in a heartbeat or its reply; True if the peer looked dead before."""
         if member.name == self.name:
             return False
@@ -63,14 +63,14 @@
         self._heard[member.name] = now
         return back
 
-    def read_list(self, records: Iterable[InstanceRecord], now: float) -> None:
+    def update_from_list(self, records: Iterable[InstanceRecord], now: float) -> None:
         """Take in the platform's list."""
         self._listed = {record.name: record for record in records}
         for record in self._listed.values():
             if record.state is InstanceState.LEAVING:
                 self._leaving_instances[record.name] = now
 
-    def told_leaving(self, instances: Iterable[str], now: float) -> list[str]:
+    def add_leaving_instances(self, instances: Iterable[str], now: float) -> list[str]:
         """Take in a peer's word on leaving instances; returns the new ones."""
         fresh = [name for name in instances if name not in self._leaving_instances]
         for name in fresh:
@@ -86,7 +86,7 @@
                 del self._leaving_instances[name]
         return set(self._leaving_instances)
 
-    def addresses(self, seeds: Iterable[str] = ()) -> list[str]:
+    def heartbeat_addresses(self, seeds: Iterable[str] = ()) -> list[str]:
         """Return the peer addresses to send heartbeats to."""
         listed = {
             record.peer_address
@@ -96,11 +96,11 @@
         known = {member.peer_address for member in self._members.values()}
         return sorted({*listed, *known, *seeds} - {""})
 
-    def heard_since(self, moment: float) -> set[str]:
+    def addresses_heard_since(self, moment: float) -> set[str]:
         """Return the peer addresses that were heard from after a moment."""
         return {self._members[name].peer_address for name, at in self._heard.items() if at > moment}
 
-    def alive(self, now: float) -> list[Member]:
+    def live_members(self, now: float) -> list[Member]:
         """Return the peers that look alive."""
         return [member for name, member in self._members.items() if self._alive(name, now)]
 
@@ -111,7 +111,7 @@
                 return member
         return None
 
-    def forget_silent(self, now: float, after: float) -> list[str]:
+    def remove_silent(self, now: float, after: float) -> list[str]:
         """Drop peers that are neither listed nor heard for long; returns their names."""
         silent = [
             name
@@ -122,13 +122,13 @@
             del self._heard[name], self._members[name]
         return silent
 
-    def entries(self, own: Member, now: float, busy: int = 1_000_000) -> list[Member]:
+    def entry_points(self, own: Member, now: float, busy: int = 1_000_000) -> list[Member]:
         """Return the instances that callers may be sent to, preferred first.
 
         Own data hall first, then the own region, each by load. Instances with `busy`
         or more requests in progress are left out, unless all are that busy.
         """
-        candidates = [own, *self.alive(now)]
+        candidates = [own, *self.live_members(now)]
         serving = [member for member in candidates if not self._is_leaving(member)]
 
         def order(member: Member) -> tuple:
@@ -142,28 +142,28 @@
         idle = [member for member in serving if member.requests_in_progress < busy]
         return sorted(idle or serving, key=order)
 
-    def watchers(self, own: Member, count: int, now: float) -> list[str]:
+    def watcher_incarnations(self, own: Member, count: int, now: float) -> list[str]:
         """Return the incarnations of the own hall that watch the platform."""
-        hall = [member for member in self.alive(now) if member.data_hall == own.data_hall]
+        hall = [member for member in self.live_members(now) if member.data_hall == own.data_hall]
         names = [member.incarnation for member in hall if not member.leaving]
         return rendezvous(own.data_hall, [own.incarnation, *names])[:count]
 
-    def drawer(self, own: Member, account: str, now: float) -> str:
+    def drawing_incarnation(self, own: Member, account: str, now: float) -> str:
         """Return the incarnation that draws from an account for the own region."""
-        region = [member for member in self.alive(now) if member.region == own.region]
+        region = [member for member in self.live_members(now) if member.region == own.region]
         names = [member.incarnation for member in region if not member.leaving]
         if not own.leaving:
             names.append(own.incarnation)
         return rendezvous(account, names or [own.incarnation])[0]
 
-    def home(self, own: Member, identity: str, now: float) -> str:
+    def home_incarnation(self, own: Member, identity: str, now: float) -> str:
         """Return the home incarnation of a request that came without a ticket."""
-        names = [member.incarnation for member in self.alive(now)]
+        names = [member.incarnation for member in self.live_members(now)]
         return rendezvous(identity, [own.incarnation, *names])[0]
 
-    def heirs(self, now: float) -> list[str]:
+    def handover_candidates(self, now: float) -> list[str]:
         """Return the incarnations that may inherit a stopping home's memory."""
-        return [member.incarnation for member in self.alive(now) if not member.leaving]
+        return [member.incarnation for member in self.live_members(now) if not member.leaving]
 
     def _alive(self, name: str, now: float) -> bool:
         at = self._heard.get(name)
--- a/whinrack/quarantine/__init__.py
+++ b/whinrack/quarantine/__init__.py
@@ -1,22 +1,22 @@
 """Requests that end the targets which run them, and how they are kept away from further ones."""
 
-from whinrack.quarantine._archive import CaseArchive
+from whinrack.quarantine._case_store import CaseStore
 from whinrack.quarantine._cases import Case, TargetEnd
-from whinrack.quarantine._fingerprint import fingerprint
-from whinrack.quarantine._listing import QuarantinedRequest, listed
+from whinrack.quarantine._fingerprint import compute_fingerprint
+from whinrack.quarantine._listing import QuarantinedRequest, describe_case
 from whinrack.quarantine._quarantine import Quarantine, QuarantineHost
-from whinrack.quarantine.base import AdmitAll, RequestName, RunGuard
+from whinrack.quarantine.base import AdmitAll, RequestSignature, RunGuard
 
 __all__ = [
     "AdmitAll",
     "Case",
-    "CaseArchive",
+    "CaseStore",
     "Quarantine",
     "QuarantineHost",
     "QuarantinedRequest",
-    "RequestName",
+    "RequestSignature",
     "RunGuard",
     "TargetEnd",
-    "fingerprint",
-    "listed",
+    "compute_fingerprint",
+    "describe_case",
 ]
--- a/whinrack/quarantine/_archive.py
+++ b/whinrack/quarantine/_case_store.py
@@ -12,7 +12,7 @@
 from whinrack.quarantine._trials import seconds_until_trial
 from whinrack.store import ObjectEditor, ObjectStore
 
-__all__ = ["CaseArchive"]
+__all__ = ["CaseStore"]
 
 _KIND = "Quarantine"
 _NAME = "main"
@@ -26,18 +26,18 @@
     cases: tuple[Case, ...] = ()
 
 
-class CaseArchive:
+class CaseStore:
     """One object with all suspects; it is written only when a second target ends, or a later one.
 
     Parameters
     ----------
     store : ObjectStore
-    wall : callable
+    wall_clock : callable
         Returns the Unix time, seconds.
     """
 
-    def __init__(self, store: ObjectStore, wall: Callable[[], float]):
-        self.wall = wall
+    def __init__(self, store: ObjectStore, wall_clock: Callable[[], float]):
+        self.wall_clock = wall_clock
         self._editor = ObjectEditor(store, _KIND, msgspec.Raw, attempts=_WRITES)
 
     def read(self) -> Result[tuple[Case, ...], PlatformFailure]:
@@ -65,7 +65,7 @@
             nonlocal claimed
             known = _by_fingerprint(old).get(case.fingerprint)
             present = case if known is None else merged(known, case)
-            now = self.wall()
+            now = self.wall_clock()
             claimed = seconds_until_trial(present, now) == 0.0
             return self._joined(old, (present.with_trial(now),)) if claimed else None
 
@@ -79,7 +79,7 @@
             joined[case.fingerprint] = case if known is None else merged(known, case)
         if joined == _by_fingerprint(old):
             return None
-        since = self.wall() - KEPT_SECONDS
+        since = self.wall_clock() - KEPT_SECONDS
         kept = [case for case in joined.values() if case.ended_at >= since]
         kept.sort(key=lambda case: (len(case.ends), case.ended_at), reverse=True)
         return msgspec.Raw(msgspec.json.encode(StoredCases(tuple(kept[:MOST_SUSPECTS]))))
--- a/whinrack/quarantine/_fingerprint.py
+++ b/whinrack/quarantine/_fingerprint.py
@@ -2,7 +2,7 @@
 
 import hashlib
 
-__all__ = ["fingerprint"]
+__all__ = ["compute_fingerprint"]
 
 # 64 bits: among 10^6 requests two share a name by chance once in 4 x 10^7 fleets.
 _BYTES = 8
@@ -10,7 +10,7 @@
 _KEY = b"whinrack request"
 
 
-def fingerprint(host: str, target: bytes, workspace: str, body: bytes) -> str:
+def compute_fingerprint(host: str, target: bytes, workspace: str, body: bytes) -> str:
     """Return the name of all requests with the same path, caller and body, as 16 hex digits.
 
     The id of a request is left out: a caller that comes again has a new one each time.
--- a/whinrack/quarantine/_listing.py
+++ b/whinrack/quarantine/_listing.py
@@ -4,7 +4,7 @@
 
 from whinrack.quarantine._cases import Case
 
-__all__ = ["QuarantinedRequest", "listed"]
+__all__ = ["QuarantinedRequest", "describe_case"]
 
 
 class QuarantinedRequest(msgspec.Struct, frozen=True):
@@ -28,7 +28,7 @@
     trials: int
 
 
-def listed(case: Case) -> QuarantinedRequest:
+def describe_case(case: Case) -> QuarantinedRequest:
     """Return a case as operators see it."""
     return QuarantinedRequest(
         fingerprint=case.fingerprint,
--- a/whinrack/quarantine/_quarantine.py
+++ b/whinrack/quarantine/_quarantine.py
@@ -12,11 +12,11 @@
 from whinrack.clock import steady
 from whinrack.exceptions import RequestQuarantined, WriteUnknown
 from whinrack.observability import Event, log_event
-from whinrack.quarantine._archive import CaseArchive
+from whinrack.quarantine._case_store import CaseStore
 from whinrack.quarantine._cases import Case, TargetEnd
 from whinrack.quarantine._table import SUSPICIOUS, CaseTable
 from whinrack.quarantine._trials import seconds_until_trial
-from whinrack.quarantine.base import RequestName, RunGuard
+from whinrack.quarantine.base import RequestSignature, RunGuard
 
 __all__ = ["Quarantine", "QuarantineHost"]
 
@@ -31,11 +31,11 @@
 class QuarantineHost:
     """How the quarantine reaches the peers."""
 
-    def tell_owners(self, case: Case) -> None:
+    def send_to_owners(self, case: Case) -> None:
         """Tell the instances that a fingerprint falls to."""
         raise NotImplementedError
 
-    def tell_all(self, cases: list[Case]) -> None:
+    def send_to_all(self, cases: list[Case]) -> None:
         """Tell all instances."""
         raise NotImplementedError
 
@@ -43,7 +43,7 @@
         """Whether the store answers calls from here."""
         raise NotImplementedError
 
-    def keep(self) -> None:
+    def schedule_save(self) -> None:
         """Have the suspects written to the store soon."""
         raise NotImplementedError
 
@@ -53,9 +53,9 @@
 
     Parameters
     ----------
-    archive : CaseArchive
+    case_store : CaseArchive
     host : QuarantineHost
-    wall : callable
+    wall_clock : callable
         Returns the Unix time, seconds.
     steady : callable, optional
         Returns the steady clock, seconds.
@@ -63,26 +63,26 @@
 
     def __init__(
         self,
-        archive: CaseArchive,
+        case_store: CaseStore,
         host: QuarantineHost,
-        wall: Callable[[], float],
+        wall_clock: Callable[[], float],
         steady: Callable[[], float] = steady,
     ):
-        self.archive = archive
+        self.case_store = case_store
         self.host = host
-        self.wall = wall
+        self.wall_clock = wall_clock
         self.steady = steady
         self.table = CaseTable()
         self._kept_out: frozenset[str] = frozenset()
 
     # --- what the pipeline asks and tells -------------------------------------------
 
-    def admit(self, request: RequestName) -> None:
+    def admit(self, request: RequestSignature) -> None:
         """Let a request go to a target, or refuse it at once."""
-        if request.fingerprint not in self.table.blamed():
+        if request.fingerprint not in self.table.blamed_fingerprints():
             return
         case = self.table.get(request.fingerprint)
-        wait = seconds_until_trial(case, self.wall())
+        wait = seconds_until_trial(case, self.wall_clock())
         if wait == 0.0 and self._takes_trial(case):
             return
         raise RequestQuarantined(
@@ -95,13 +95,13 @@
         if not self.host.reaches_store():
             # Its caller would wait for the store in vain.
             return False
-        claimed = self.archive.claim_trial(case)
+        claimed = self.case_store.claim_trial(case)
         if isinstance(claimed, Failure) and not isinstance(claimed.failure(), WriteUnknown):
             return False
         taken = isinstance(claimed, Success) and claimed.unwrap()
         # Another instance has it, or a write without an answer may have been done.
-        self.table.merge(case.with_trial(self.wall()))
-        self.host.tell_all([self.table.get(case.fingerprint)])
+        self.table.merge(case.with_trial(self.wall_clock()))
+        self.host.send_to_all([self.table.get(case.fingerprint)])
         log_event(
             Event.QUARANTINE_TRIAL,
             fingerprint=case.fingerprint,
@@ -110,14 +110,14 @@
         )
         return taken
 
-    def ended_well(self, request: RequestName) -> None:
+    def record_success(self, request: RequestSignature) -> None:
         """Clear a request: it doesn't end each target that runs it."""
         self.table.note_success(request.fingerprint, self.steady())
         self._clear(request.fingerprint, request.workspace, "ended well")
 
-    def target_ended(self, end: TargetEnd, runs: list[RequestName]) -> None:
+    def record_target_end(self, end: TargetEnd, runs: list[RequestSignature]) -> None:
         """Take in a target's end as evidence against those that it cut."""
-        now = self.wall()
+        now = self.wall_clock()
         for request in runs:
             if self._is_innocent(request.fingerprint):
                 continue
@@ -128,16 +128,20 @@
             )
             case = self.table.record_end(empty, end, now)
             if len(case.ends) < SUSPICIOUS:
-                self.host.tell_owners(case)
+                self.host.send_to_owners(case)
             else:
                 self._announce(case, _HERE)
         self._log_changes()
 
     # --- what operators ask -----------------------------------------------------------
 
-    def kept_out(self) -> list[Case]:
+    def quarantined_cases(self) -> list[Case]:
         """Return the cases of requests that go to no target."""
-        return [case for case in self.table.suspects() if case.fingerprint in self.table.blamed()]
+        return [
+            case
+            for case in self.table.suspect_cases()
+            if case.fingerprint in self.table.blamed_fingerprints()
+        ]
 
     def lift(self, fingerprint: str) -> bool:
         """Clear a request by an operator's word; False if nothing is known of it."""
@@ -145,7 +149,7 @@
 
     # --- what peers and the store tell ------------------------------------------------
 
-    def learn(self, cases: Iterable[Case], source: str) -> list[Case]:
+    def merge_cases(self, cases: Iterable[Case], source: str) -> list[Case]:
         """Take in what a peer or the store knows; returns what it lacks."""
         lacking = []
         for told in cases:
@@ -164,15 +168,17 @@
         self._log_changes()
         return lacking
 
-    def learn_stored(self, cases: Iterable[Case]) -> None:
+    def merge_stored_cases(self, cases: Iterable[Case]) -> None:
         """Take in what the store holds; peers that lack some ask by their checksums."""
         told = list(cases)
-        self.learn(told, _STORE)
-        log_event(Event.QUARANTINE_READ, cases=len(told), kept_out=len(self.table.blamed()))
+        self.merge_cases(told, _STORE)
+        log_event(
+            Event.QUARANTINE_READ, cases=len(told), kept_out=len(self.table.blamed_fingerprints())
+        )
 
-    def forget(self) -> None:
+    def remove_expired(self) -> None:
         """Drop what is too old to count."""
-        self.table.forget(self.wall())
+        self.table.forget(self.wall_clock())
         self._log_changes()
 
     # --- consequences -----------------------------------------------------------------
@@ -187,10 +193,10 @@
             return False
         log_event(Event.QUARANTINE_ENDED, fingerprint=fingerprint, why=why, ends=len(before.ends))
         if len(before.ends) < SUSPICIOUS:
-            self.host.tell_owners(case)
+            self.host.send_to_owners(case)
         else:
-            self.host.tell_all([case])
-            self.host.keep()
+            self.host.send_to_all([case])
+            self.host.schedule_save()
         self._kept_out -= {fingerprint}
         return True
 
@@ -203,12 +209,12 @@
             targets=" ".join(case.target_names()),
             source=source,
         )
-        self.host.tell_all([case])
-        self.host.keep()
+        self.host.send_to_all([case])
+        self.host.schedule_save()
 
     def _log_changes(self) -> None:
         """Tell which requests are kept out from now on, and which no longer are."""
-        now = self.table.blamed()
+        now = self.table.blamed_fingerprints()
         for fingerprint in now - self._kept_out:
             case = self.table.get(fingerprint)
             log_event(
--- a/whinrack/quarantine/_table.py
+++ b/whinrack/quarantine/_table.py
@@ -48,11 +48,11 @@
             known = self._single.get(workspace, {}).get(fingerprint)
         return known
 
-    def suspects(self) -> list[Case]:
+    def suspect_cases(self) -> list[Case]:
         """Return the cases that all instances are told of, cleared ones included."""
         return list(self._suspects.values())
 
-    def blamed(self) -> frozenset[str]:
+    def blamed_fingerprints(self) -> frozenset[str]:
         """Return the fingerprints of requests that are to be kept out."""
         if self._blamed is None:
             self._blamed = blamed(self._suspects.values())
--- a/whinrack/quarantine/base.py
+++ b/whinrack/quarantine/base.py
@@ -4,10 +4,10 @@
 
 from whinrack.quarantine._cases import TargetEnd
 
-__all__ = ["AdmitAll", "RequestName", "RunGuard"]
+__all__ = ["AdmitAll", "RequestSignature", "RunGuard"]
 
 
-class RequestName(msgspec.Struct, frozen=True):
+class RequestSignature(msgspec.Struct, frozen=True):
     """All requests with one fingerprint, whose they are and the route that they came on."""
 
     fingerprint: str
@@ -18,7 +18,7 @@
 class RunGuard:
     """Keeps requests from targets, and learns how runs end."""
 
-    def admit(self, run: RequestName) -> None:
+    def admit(self, run: RequestSignature) -> None:
         """Let a request go to a target.
 
         Raises
@@ -27,11 +27,11 @@
         """
         raise NotImplementedError
 
-    def ended_well(self, run: RequestName) -> None:
+    def record_success(self, run: RequestSignature) -> None:
         """Learn that a target ran a request to its end, and lives."""
         raise NotImplementedError
 
-    def target_ended(self, end: TargetEnd, runs: list[RequestName]) -> None:
+    def record_target_end(self, end: TargetEnd, runs: list[RequestSignature]) -> None:
         """Learn that a target ended by itself, and which requests from here it cut."""
         raise NotImplementedError
 
@@ -39,11 +39,11 @@
 class AdmitAll(RunGuard):
     """Keeps nothing away."""
 
-    def admit(self, run: RequestName) -> None:
+    def admit(self, run: RequestSignature) -> None:
         """Let it go."""
 
-    def ended_well(self, run: RequestName) -> None:
+    def record_success(self, run: RequestSignature) -> None:
         """Learn nothing."""
 
-    def target_ended(self, end: TargetEnd, runs: list[RequestName]) -> None:
+    def record_target_end(self, end: TargetEnd, runs: list[RequestSignature]) -> None:
         """Learn nothing."""
--- a/whinrack/quarantine/tests/test_archive.py
+++ b/whinrack/quarantine/tests/test_case_store.py
@@ -4,7 +4,7 @@
 from returns.result import Failure, Success
 
 from standins.memory_store import MemoryStore
-from whinrack.quarantine import Case, CaseArchive, TargetEnd
+from whinrack.quarantine import Case, CaseStore, TargetEnd
 
 NOW = 1_000_000.0
 
@@ -28,7 +28,7 @@
 
 @pytest.fixture
 def archives(store, clock):
-    return [CaseArchive(store, lambda: clock[0]) for _ in range(2)]
+    return [CaseStore(store, lambda: clock[0]) for _ in range(2)]
 
 
 def test_nothing_is_stored_at_first(archives):
--- a/whinrack/quarantine/tests/test_quarantine.py
+++ b/whinrack/quarantine/tests/test_quarantine.py
@@ -4,11 +4,11 @@
 
 from standins.memory_store import MemoryStore
 from whinrack.exceptions import RequestQuarantined
-from whinrack.quarantine import CaseArchive, Quarantine, QuarantineHost, RequestName, TargetEnd
+from whinrack.quarantine import CaseStore, Quarantine, QuarantineHost, RequestSignature, TargetEnd
 
-DEADLY = RequestName("deadly", "w", "r")
-NEIGHBOUR = RequestName("neighbour", "v", "r")
-POPULAR = RequestName("popular", "v", "r")
+DEADLY = RequestSignature("deadly", "w", "r")
+NEIGHBOUR = RequestSignature("neighbour", "v", "r")
+POPULAR = RequestSignature("popular", "v", "r")
 
 
 class Instance(QuarantineHost):
@@ -18,29 +18,29 @@
         self.name = name
         self.hears = []
         self.store_answers = True
-        self.archive = CaseArchive(store, lambda: clock[0])
+        self.archive = CaseStore(store, lambda: clock[0])
         self.quarantine = Quarantine(self.archive, self, lambda: clock[0], lambda: clock[0])
 
-    def tell_owners(self, case):
-        self.tell_all([case])
+    def send_to_owners(self, case):
+        self.send_to_all([case])
 
-    def tell_all(self, cases):
+    def send_to_all(self, cases):
         for peer in self.hears:
-            lacking = peer.quarantine.learn(cases, self.name)
+            lacking = peer.quarantine.merge_cases(cases, self.name)
             if lacking:
-                self.quarantine.learn(lacking, peer.name)
+                self.quarantine.merge_cases(lacking, peer.name)
 
     def reaches_store(self):
         return self.store_answers
 
-    def keep(self):
-        self.archive.write(self.quarantine.table.suspects())
+    def schedule_save(self):
+        self.archive.write(self.quarantine.table.suspect_cases())
 
     def compare(self, peer):
         """Do what heartbeats with different checksums do."""
         if self.quarantine.table.checksum() != peer.quarantine.table.checksum():
-            peer.quarantine.learn(self.quarantine.table.suspects(), self.name)
-            self.quarantine.learn(peer.quarantine.table.suspects(), peer.name)
+            peer.quarantine.merge_cases(self.quarantine.table.suspect_cases(), self.name)
+            self.quarantine.merge_cases(peer.quarantine.table.suspect_cases(), peer.name)
 
     def admits(self, request):
         try:
@@ -66,7 +66,7 @@
                 instance.hears = [peer for peer in group if peer is not instance]
 
     def end(self, number, target, *requests):
-        self.all[number].quarantine.target_ended(TargetEnd(target), list(requests))
+        self.all[number].quarantine.record_target_end(TargetEnd(target), list(requests))
 
     def admits(self, request=DEADLY):
         return [instance.admits(request) for instance in self.all]
@@ -102,14 +102,14 @@
 def test_a_run_that_ended_well_clears_the_request_everywhere(fleet):
     for target in "abc":
         fleet.end(0, target, POPULAR)
-    fleet.all[2].quarantine.ended_well(POPULAR)
+    fleet.all[2].quarantine.record_success(POPULAR)
     assert fleet.admits(POPULAR) == [True] * 4
 
 
 def test_a_request_that_ends_well_beside_is_never_blamed(fleet):
     for number, target in enumerate("abcdef"):
         fleet.clock[0] += 5.0
-        fleet.all[3].quarantine.ended_well(POPULAR)
+        fleet.all[3].quarantine.record_success(POPULAR)
         fleet.end(number % 3, target, POPULAR, DEADLY)
         assert fleet.admits(POPULAR) == [True] * 4
     assert fleet.admits() == [False] * 4
@@ -141,7 +141,7 @@
     fleet.end(0, "b", DEADLY)
     fleet.end(2, "c", DEADLY)
     for instance in fleet.all:
-        instance.quarantine.learn_stored(instance.archive.read().unwrap())
+        instance.quarantine.merge_stored_cases(instance.archive.read().unwrap())
     assert fleet.admits()[2:] == [False, False]
 
 
@@ -161,7 +161,7 @@
         fleet.end(0, target, DEADLY)
     fleet.start(4)
     for instance in fleet.all:
-        instance.quarantine.learn_stored(instance.archive.read().unwrap())
+        instance.quarantine.merge_stored_cases(instance.archive.read().unwrap())
     assert fleet.admits() == [False] * 4
 
 
@@ -182,7 +182,7 @@
         fleet.end(0, target, POPULAR)
     fleet.clock[0] += 60.0
     assert sum(fleet.admits(POPULAR)) == 1
-    fleet.all[1].quarantine.ended_well(POPULAR)
+    fleet.all[1].quarantine.record_success(POPULAR)
     assert fleet.admits(POPULAR) == [True] * 4
 
 
@@ -218,7 +218,7 @@
 def test_an_operator_lifts_it_everywhere(fleet):
     for target in "abc":
         fleet.end(0, target, DEADLY)
-    assert [case.fingerprint for case in fleet.all[1].quarantine.kept_out()] == ["deadly"]
+    assert [case.fingerprint for case in fleet.all[1].quarantine.quarantined_cases()] == ["deadly"]
     assert fleet.all[1].quarantine.lift("deadly")
     assert not fleet.all[1].quarantine.lift("deadly")
     assert fleet.admits() == [True] * 4
--- a/whinrack/quarantine/tests/test_table.py
+++ b/whinrack/quarantine/tests/test_table.py
@@ -34,7 +34,7 @@
     record(table, "culprit", "abc")
     for number in range(_MANY):
         record(table, f"f{number}", "d", workspace=f"w{number % 50}")
-    assert table.blamed() == {"culprit"}
+    assert table.blamed_fingerprints() == {"culprit"}
 
 
 def test_of_too_many_suspects_those_with_most_ends_stay():
@@ -42,8 +42,8 @@
     record(table, "culprit", "abc")
     for number in range(2 * MOST_SUSPECTS):
         record(table, f"f{number}", (f"x{number}", f"y{number}"), at=2.0)
-    assert len(table.suspects()) == MOST_SUSPECTS
-    assert table.blamed() == {"culprit"}
+    assert len(table.suspect_cases()) == MOST_SUSPECTS
+    assert table.blamed_fingerprints() == {"culprit"}
 
 
 def test_a_single_end_is_forgotten_after_ten_minutes_a_suspect_after_a_week():
@@ -56,7 +56,7 @@
     assert table.get("single", "w") is None
     assert table.get("suspect") is not None
     table.forget(KEPT_SECONDS + 1.0)
-    assert table.suspects() == []
+    assert table.suspect_cases() == []
 
 
 def test_equal_knowledge_has_equal_checksums_whatever_its_order():
--- a/whinrack/server/_admission.py
+++ b/whinrack/server/_admission.py
@@ -66,7 +66,7 @@
 
     def rebuild(self) -> None:
         """Follow the declarations in force."""
-        specs = self.config.all(TargetPool)
+        specs = self.config.specs_of_kind(TargetPool)
         for name in set(self._pools) - set(specs):
             del self._pools[name]
         for name, spec in specs.items():
@@ -191,7 +191,7 @@
         return ranks.index(first.request_class) <= ranks.index(query.request_class)
 
     def _rebuild_targets(self) -> None:
-        specs = self.config.all(Target)
+        specs = self.config.specs_of_kind(Target)
         for pool in self._pools.values():
             for name in list(pool.targets):
                 if name not in specs or specs[name].pool != pool.name:
--- a/whinrack/server/_bills.py
+++ b/whinrack/server/_bills.py
@@ -58,7 +58,7 @@
         while True:
             self._wanted.wait()
             self._wanted = Event()
-            eventlet.sleep(self._pace.delay(steady()))
+            eventlet.sleep(self._pace.reserve(steady()))
             if not self.flush():
                 eventlet.sleep(_RETRY_PAUSE)
                 self._want_commit()
--- a/whinrack/server/_config_follower.py
+++ b/whinrack/server/_config_follower.py
@@ -38,7 +38,7 @@
         """Get a first configuration, from the platform or from any peer."""
         while not self._list():
             self._catch_up_from_peers()
-            if self.context.config.newest:
+            if self.context.config.newest_version:
                 break
             eventlet.sleep(_PAUSE)
         self.context.state.ready = True
@@ -61,7 +61,7 @@
         config = self.context.config
         try:
             for revision, objects in self.context.peers.feed(address, config.revision):
-                self._count("peer", config.take_batch(revision, objects))
+                self._count("peer", config.apply_batch(revision, objects))
                 return True
         except PeerUnavailable:
             return False
@@ -73,7 +73,7 @@
 
     def _watchers(self) -> list[str]:
         count = self.context.settings.membership.watchers_per_hall
-        return self.context.table.watchers(self.context.own_member(), count, steady())
+        return self.context.table.watcher_incarnations(self.context.own_member(), count, steady())
 
     def _watch(self) -> bool:
         if not self._listed and not self._list():
@@ -88,7 +88,7 @@
         batch = result.unwrap()
         if batch.gap:
             return self._list()
-        self._count(_PLATFORM, config.take_batch(batch.revision, batch.objects))
+        self._count(_PLATFORM, config.apply_batch(batch.revision, batch.objects))
         return True
 
     def _list(self) -> bool:
@@ -96,7 +96,7 @@
         if not isinstance(result, Success):
             return False
         snapshot = result.unwrap()
-        taken = self.context.config.take_snapshot(snapshot.revision, snapshot.objects)
+        taken = self.context.config.apply_snapshot(snapshot.revision, snapshot.objects)
         self._count(_PLATFORM, taken)
         self._listed = True
         return True
@@ -113,7 +113,7 @@
                 for revision, objects in self.context.peers.feed(
                     member.peer_address, config.revision
                 ):
-                    self._count("peer", config.take_batch(revision, objects))
+                    self._count("peer", config.apply_batch(revision, objects))
                     if watcher not in self._watchers():
                         return True
             except PeerUnavailable:
@@ -122,7 +122,7 @@
 
     def _catch_up_from_peers(self) -> None:
         seeds = self.context.settings.peer.seeds.split()
-        for address in self.context.table.addresses(seeds):
+        for address in self.context.table.heartbeat_addresses(seeds):
             if self.catch_up(address):
                 return
 
--- a/whinrack/server/_consultation.py
+++ b/whinrack/server/_consultation.py
@@ -54,7 +54,7 @@
         """Ask who inherited the memory of a home that may have stopped as planned."""
         now = steady()
         own = self.context.state.incarnation
-        heirs = [own, *self.context.table.heirs(now)]
+        heirs = [own, *self.context.table.handover_candidates(now)]
         name = rendezvous(asked.identity.name, heirs)[0]
         if name == own:
             if self.context.memory.is_responsible_for(home, now):
--- a/whinrack/server/_context.py
+++ b/whinrack/server/_context.py
@@ -66,7 +66,7 @@
             http_address=settings.http.address,
             peer_address=settings.peer.address,
             leaving=self.state.leaving,
-            revision=self.config.newest,
+            revision=self.config.newest_version,
             requests_in_progress=self.state.in_progress,
             watching=self.state.watching,
         )
--- a/whinrack/server/_daemon.py
+++ b/whinrack/server/_daemon.py
@@ -143,7 +143,7 @@
         self.tasks.update_leaving()
 
     def _config_changed(self, kinds: set[str]) -> None:
-        newest = self.context.config.newest
+        newest = self.context.config.newest_version
         log_event(Event.CONFIG_TAKEN, kinds=",".join(sorted(kinds)), newest=newest)
         if kinds & {"Target", "TargetPool"}:
             self.directory.rebuild()
@@ -209,7 +209,7 @@
         """Tell each peer what callers will ask it instead of this instance."""
         context, now = self.context, steady()
         home = context.state.incarnation
-        shares = {heir: [] for heir in context.table.heirs(now)}
+        shares = {heir: [] for heir in context.table.handover_candidates(now)}
         for entry in context.memory.handover_entries():
             if shares:
                 shares[rendezvous(entry.identity, shares)[0]].append(entry)
--- a/whinrack/server/_operations.py
+++ b/whinrack/server/_operations.py
@@ -63,7 +63,7 @@
         """Answer "which address?"; needs no key, as it tells nothing secret."""
         own = self.context.own_member()
         busy = self.context.settings.http.busy_requests
-        members = self.context.table.entries(own, steady(), busy)
+        members = self.context.table.entry_points(own, steady(), busy)
         home = members[0] if members else own
         reply = EntryReply(
             addresses=[member.http_address for member in members[:_MOST_ADDRESSES]],
@@ -74,7 +74,7 @@
 
     def models(self) -> HttpAnswer:
         """List the models that any pool serves."""
-        pools = self.context.config.all(TargetPool).values()
+        pools = self.context.config.specs_of_kind(TargetPool).values()
         names = sorted({model for pool in pools for model in pool.models})
         return json_answer(ModelList([ModelRow(name) for name in names]))
 
@@ -125,9 +125,9 @@
         return RouterStatus(
             incarnation=context.state.incarnation,
             leaving=context.state.leaving,
-            newest=context.config.newest,
+            newest=context.config.newest_version,
             requests_in_progress=context.state.in_progress,
-            members=sorted(member.name for member in context.table.alive(now)),
+            members=sorted(member.name for member in context.table.live_members(now)),
             watching=context.state.watching,
             leaving_targets=sorted(target.name for target in targets if target.leaving),
             ejected_targets=sorted(t.name for t in targets if t.ejection.is_ejected(now)),
@@ -138,8 +138,8 @@
     def _set_gauges(self) -> None:
         context, metrics = self.context, self.context.metrics
         ledgers = context.keeper.ledgers()
-        metrics.revision.set(context.config.newest)
-        metrics.members.set(len(context.table.alive(steady())))
+        metrics.revision.set(context.config.newest_version)
+        metrics.members.set(len(context.table.live_members(steady())))
         metrics.in_progress.set(context.state.in_progress)
         metrics.spendable.set(sum(ledger.spendable for ledger in ledgers))
         metrics.open_cover.set(sum(ledger.open_cover for ledger in ledgers))
--- a/whinrack/server/_ownership.py
+++ b/whinrack/server/_ownership.py
@@ -150,7 +150,7 @@
         if ticket is not None:
             return ticket.home
         own = self.context.own_member()
-        return self.context.table.home(own, asked.identity.name, steady())
+        return self.context.table.home_incarnation(own, asked.identity.name, steady())
 
     def _ask(self, asked: AskedRequest, home: str) -> RunHere | JoinPeer:
         """Ask the home, and go on to the owner that it names."""
--- a/whinrack/server/_peer_handlers.py
+++ b/whinrack/server/_peer_handlers.py
@@ -81,9 +81,9 @@
     def take_word(self, member: Member, leaving: Sequence[str]) -> None:
         """Learn from a heartbeat or its reply."""
         now = steady()
-        if self.context.table.heard(member, now):
+        if self.context.table.record_heartbeat(member, now):
             log_event(Event.MEMBER_JOINED, member=member.incarnation)
-        if self.context.table.told_leaving(leaving, now):
+        if self.context.table.add_leaving_instances(leaving, now):
             self.on_leaving()
 
     def draw(self, order: DrawOrder) -> Result[DrawResult, PlatformFailure]:
--- a/whinrack/server/_tasks.py
+++ b/whinrack/server/_tasks.py
@@ -93,7 +93,7 @@
             self._platform_up = not self._platform_up
             log_event(Event.PLATFORM_BACK if self._platform_up else Event.PLATFORM_LOST)
         if isinstance(result, Success):
-            self.context.table.read_list(result.unwrap(), steady())
+            self.context.table.update_from_list(result.unwrap(), steady())
             self.update_leaving()
 
     def report_tokens(self) -> None:
@@ -111,7 +111,7 @@
     def read_loads(self) -> None:
         """Read the load reports of the chat targets."""
         pool = eventlet.GreenPool(_HEARTBEAT_FANOUT)
-        specs = self.context.config.all(TargetPool)
+        specs = self.context.config.specs_of_kind(TargetPool)
         for target in self._read_targets():
             spec = specs.get(target.spec.pool)
             if spec is not None and spec.models:
@@ -136,12 +136,12 @@
         seeds = settings.peer.seeds.split()
         addresses = [
             address
-            for address in self.context.table.addresses(seeds)
+            for address in self.context.table.heartbeat_addresses(seeds)
             if address != settings.peer.address
         ]
         if not everyone:
             recent = steady() - _SAME_BEAT * settings.membership.heartbeat_interval
-            heard = self.context.table.heard_since(recent)
+            heard = self.context.table.addresses_heard_since(recent)
             addresses = [address for address in addresses if address not in heard]
         if len(addresses) <= settings.membership.full_mesh_limit:
             return addresses
@@ -158,17 +158,17 @@
 
     def _notice_lost(self) -> None:
         now = steady()
-        alive = {member.name for member in self.context.table.alive(now)}
+        alive = {member.name for member in self.context.table.live_members(now)}
         for name in self._alive - alive:
             log_event(Event.MEMBER_LOST, member=name)
         self._alive = alive
-        self.context.table.forget_silent(now, _FORGET_AFTER)
+        self.context.table.remove_silent(now, _FORGET_AFTER)
 
     def _catch_up(self) -> None:
         """Fetch from a peer that has had newer configuration for some heartbeats."""
-        members = self.context.table.alive(steady())
+        members = self.context.table.live_members(steady())
         newest = max(members, key=lambda member: member.revision, default=None)
-        if newest is None or newest.revision <= self.context.config.newest:
+        if newest is None or newest.revision <= self.context.config.newest_version:
             self._behind = 0
             return
         self._behind += 1
--- a/whinrack/server/_token_sources.py
+++ b/whinrack/server/_token_sources.py
@@ -52,7 +52,7 @@
     def draw(self, order: DrawOrder) -> Result[DrawResult, WhinrackError]:
         """Apply an order and return the books' state."""
         own = self.own()
-        chosen = self.table.drawer(own, order.account, steady())
+        chosen = self.table.drawing_incarnation(own, order.account, steady())
         member = None if chosen == own.incarnation else self.table.find(chosen)
         if member is not None:
             result = self.peers.draw(member.peer_address, order)
@@ -87,7 +87,7 @@
     ) -> Iterable[TransferTotal]:
         """Ask peers for tokens and yield what each has given in all."""
         own = self.own()
-        members = self.table.alive(steady())
+        members = self.table.live_members(steady())
         members.sort(key=lambda member: (member.region != own.region, member.name))
         pool = eventlet.GreenPool(_MOST_ASKED)
         missing = need
--- a/whinrack/server/tests/test_ownership.py
+++ b/whinrack/server/tests/test_ownership.py
@@ -23,10 +23,10 @@
     def __init__(self, names):
         self.names = names
 
-    def home(self, own, identity, now):
+    def home_incarnation(self, own, identity, now):
         return HOME
 
-    def heirs(self, now):
+    def handover_candidates(self, now):
         return []
 
     def find(self, incarnation):
--- a/whinrack/store/__init__.py
+++ b/whinrack/store/__init__.py
@@ -4,10 +4,15 @@
 from whinrack.store._connections import StoreConnections
 from whinrack.store._era import EraChange, StoreEra
 from whinrack.store._http import HttpObjectStore
-from whinrack.store._limiter import TokenBucket
 from whinrack.store._metered import MeteredStore
-from whinrack.store._revisions import compose_revision, era_of, number_of, shown_revision
-from whinrack.store._transactions import ObjectEditor
+from whinrack.store._object_editor import ObjectEditor
+from whinrack.store._revisions import (
+    compose_revision,
+    format_revision,
+    revision_era,
+    revision_number,
+)
+from whinrack.store._token_bucket import TokenBucket
 from whinrack.store._types import (
     InstanceRecord,
     InstanceState,
@@ -16,7 +21,7 @@
     WatchBatch,
 )
 from whinrack.store._unknown_fields import UnknownFields
-from whinrack.store.base import ObjectStore, lost_reply
+from whinrack.store.base import ObjectStore, lost_reply_failure
 
 __all__ = [
     "AdaptiveTimeout",
@@ -35,8 +40,8 @@
     "UnknownFields",
     "WatchBatch",
     "compose_revision",
-    "era_of",
-    "lost_reply",
-    "number_of",
-    "shown_revision",
+    "revision_era",
+    "lost_reply_failure",
+    "revision_number",
+    "format_revision",
 ]
--- a/whinrack/store/_adaptive_timeout.py
+++ b/whinrack/store/_adaptive_timeout.py
@@ -33,7 +33,7 @@
         """How long to wait for the next answer."""
         return min(_HIGHEST_SECONDS, self._backoff * self._expected())
 
-    def answered(self, seconds: float) -> None:
+    def record_response(self, seconds: float) -> None:
         """Take in the seconds that an answer took."""
         self._backoff = 1
         if self._mean is None:
@@ -43,12 +43,12 @@
         self._deviation += _DEVIATION_SHARE * (off - self._deviation)
         self._mean += _MEAN_SHARE * (seconds - self._mean)
 
-    def answered_within(self, seconds: float) -> None:
+    def record_response_within(self, seconds: float) -> None:
         """Take in that an answer took at most so many seconds; how many isn't known."""
         if seconds < self._expected():
             self._backoff = 1
 
-    def lost(self) -> None:
+    def record_timeout(self) -> None:
         """Wait longer for the next answer: the store may only be slow."""
         self._backoff = _BACKOFF
 
--- a/whinrack/store/_connections.py
+++ b/whinrack/store/_connections.py
@@ -5,7 +5,7 @@
 
 from whinrack.exceptions import PlatformFailure, PlatformUnavailable
 from whinrack.keepalive import KEEPALIVE_OPTIONS
-from whinrack.store.base import lost_reply
+from whinrack.store.base import lost_reply_failure
 
 __all__ = ["StoreConnections"]
 
@@ -21,13 +21,13 @@
     ----------
     address : str
         ``host:port``.
-    most_kept : int
+    max_idle : int
         Connections that are kept open when no call needs them.
     """
 
-    def __init__(self, address: str, most_kept: int):
+    def __init__(self, address: str, max_idle: int):
         self.address = address
-        self.most_kept = most_kept
+        self.max_idle = max_idle
         self._pool = self._new_pool()
 
     def call(
@@ -48,7 +48,7 @@
             return Failure(PlatformUnavailable("no connection to the store"))
         except urllib3.exceptions.HTTPError as error:
             self._give_up(pool)
-            return Failure(lost_reply(method, type(error).__name__))
+            return Failure(lost_reply_failure(method, type(error).__name__))
         return Success(reply)
 
     def _give_up(self, pool: urllib3.HTTPConnectionPool) -> None:
@@ -62,7 +62,7 @@
         return urllib3.HTTPConnectionPool(
             host,
             int(port),
-            maxsize=self.most_kept,
+            maxsize=self.max_idle,
             block=False,
             retries=False,
             socket_options=[*urllib3.connection.HTTPConnection.default_socket_options]
--- a/whinrack/store/_era.py
+++ b/whinrack/store/_era.py
@@ -46,8 +46,8 @@
         self.current = 0
         self._is_named = False
         self.late_answers = 0
-        self.unreadable = 0
-        self.changed: list[Callable[[EraChange], None]] = []
+        self.unreadable_answers = 0
+        self.listeners: list[Callable[[EraChange], None]] = []
 
     def observe(self, text: str | None) -> int:
         """Take in what an answer names; returns the era that the answer belongs to.
@@ -58,19 +58,19 @@
             return self.current
         era = _parse(text)
         if era is None:
-            self.unreadable += 1
+            self.unreadable_answers += 1
             return self.current
         if era < self.current:
             self.late_answers += 1
-        self.learn(era)
+        self.advance_to(era)
         return era
 
-    def learn(self, era: int) -> None:
+    def advance_to(self, era: int) -> None:
         """Take in an era that an answer named, here or at a peer; an earlier one says nothing."""
         if era > self.current or not self._is_named:
             change = EraChange(self.current if self._is_named else None, era)
             self.current, self._is_named = era, True
-            for tell in self.changed:
+            for tell in self.listeners:
                 tell(change)
 
 
--- a/whinrack/store/_http.py
+++ b/whinrack/store/_http.py
@@ -27,9 +27,9 @@
     WriteUnknown,
 )
 from whinrack.store._connections import StoreConnections
-from whinrack.store._limiter import TokenBucket
+from whinrack.store._token_bucket import TokenBucket
 from whinrack.store._types import InstanceRecord, Snapshot, StoredObject, WatchBatch
-from whinrack.store.base import ObjectStore, lost_reply
+from whinrack.store.base import ObjectStore, lost_reply_failure
 
 __all__ = ["HttpObjectStore"]
 
@@ -60,7 +60,7 @@
         Seconds a call may take.
     rate : float
         Calls a second that this process may make.
-    longest_wait : float
+    max_wait : float
         Seconds a call may be held back for the rate before it fails.
     on_call : callable, optional
         Told the operation and result of each call, for counting.
@@ -73,7 +73,7 @@
         address: str,
         timeout: float = 2.0,
         rate: float = 50.0,
-        longest_wait: float = 1.0,
+        max_wait: float = 1.0,
         on_call: Callable[[str, str], None] = _ignore,
         clock: Callable[[], float] = steady,
         sleep: Callable[[float], None] = time.sleep,
@@ -81,7 +81,7 @@
         self.address = address
         self.timeout = timeout
         self.rate = rate
-        self.longest_wait = longest_wait
+        self.max_wait = max_wait
         self.on_call = on_call
         self.clock = clock
         self.sleep = sleep
@@ -155,8 +155,8 @@
         self._pause = min(_LONGEST_PAUSE, max(_FIRST_PAUSE, 2 * self._pause))
 
     def _paced(self, operation, method, path, body, version, timeout):
-        delay = self._bucket.delay(self.clock())
-        if delay > self.longest_wait:
+        delay = self._bucket.reserve(self.clock())
+        if delay > self.max_wait:
             return Failure(RateExceeded(f"{operation}: over {self.rate:g} calls a second"))
         if delay > 0.0:
             self.sleep(delay)
@@ -180,4 +180,4 @@
         case 429 | 503:
             return Failure(PlatformUnavailable(f"{operation}: status {reply.status}"))
         case _:
-            return Failure(lost_reply(method, f"{operation}: status {reply.status}"))
+            return Failure(lost_reply_failure(method, f"{operation}: status {reply.status}"))
--- a/whinrack/store/_metered.py
+++ b/whinrack/store/_metered.py
@@ -21,7 +21,7 @@
     Parameters
     ----------
     store : ObjectStore
-    count : callable
+    on_call : callable
         Called with operation and result of each call.
 
     Attributes
@@ -36,12 +36,12 @@
         The operation that failed last, and why.
     """
 
-    def __init__(self, store: ObjectStore, count: Callable[[str, str], None]):
+    def __init__(self, store: ObjectStore, on_call: Callable[[str, str], None]):
         self.store = store
-        self.count = count
+        self.on_call = on_call
         self.calls: Counter[tuple[str, str]] = Counter()
         self.bytes: Counter[str] = Counter()
-        self.answered_at = float("-inf")
+        self.last_answer_at = float("-inf")
         self.last_failure = ""
         self.era = store.era
         self.unknown_fields = store.unknown_fields
@@ -71,11 +71,11 @@
         """Wait for changes after a revision."""
         return self._counted(_about("watch", kinds), self.store.watch(kinds, since, wait))
 
-    def summary(self) -> str:
+    def format_calls(self) -> str:
         """Return the counts as text, for the log."""
         return ", ".join(f"{name}/{result}:{n}" for (name, result), n in self.calls.items())
 
-    def bytes_summary(self) -> str:
+    def format_bytes(self) -> str:
         """Return the bytes of values as text, for the log."""
         return ", ".join(f"{name}:{size}" for name, size in self.bytes.items())
 
@@ -84,10 +84,10 @@
         self.calls[operation, outcome] += 1
         self.bytes[operation] += _size(result)
         if isinstance(result, Success) or isinstance(result.failure(), NotFound | Conflict):
-            self.answered_at = steady()
+            self.last_answer_at = steady()
         else:
             self.last_failure = f"{operation}: {result.failure().message}"
-        self.count(operation, outcome)
+        self.on_call(operation, outcome)
         return result
 
 
--- a/whinrack/store/_revisions.py
+++ b/whinrack/store/_revisions.py
@@ -5,7 +5,7 @@
 out. In era 0, and at a store that names no era, it is the store's own number.
 """
 
-__all__ = ["compose_revision", "era_of", "number_of", "shown_revision"]
+__all__ = ["compose_revision", "revision_era", "revision_number", "format_revision"]
 
 # A store that counts a million changes a second gives out no more in twelve days.
 _NUMBER_BITS = 40
@@ -17,17 +17,17 @@
     return (era << _NUMBER_BITS) | min(number, _NUMBERS)
 
 
-def era_of(revision: int) -> int:
+def revision_era(revision: int) -> int:
     """Return the era in which a revision was given out."""
     return revision >> _NUMBER_BITS
 
 
-def number_of(revision: int) -> int:
+def revision_number(revision: int) -> int:
     """Return the store's own number of a revision."""
     return revision & _NUMBERS
 
 
-def shown_revision(revision: int) -> str:
+def format_revision(revision: int) -> str:
     """Return a revision for logs, `era:number` or the number alone in era 0."""
-    era = era_of(revision)
-    return f"{era}:{number_of(revision)}" if era else str(revision)
+    era = revision_era(revision)
+    return f"{era}:{revision_number(revision)}" if era else str(revision)
--- a/whinrack/store/_limiter.py
+++ b/whinrack/store/_token_bucket.py
@@ -26,13 +26,13 @@
         self._saved = burst
         self._at: float | None = None
 
-    def delay(self, now: float) -> float:
+    def reserve(self, now: float) -> float:
         """Take one permit and return the seconds to wait before using it."""
         self._refill(now)
         self._saved -= 1.0
         return max(0.0, -self._saved / self.rate)
 
-    def try_take(self, now: float) -> bool:
+    def try_acquire(self, now: float) -> bool:
         """Take one permit if one is there now."""
         self._refill(now)
         if self._saved < 1.0:
--- a/whinrack/store/_unknown_fields.py
+++ b/whinrack/store/_unknown_fields.py
@@ -17,14 +17,14 @@
     """
 
     def __init__(self):
-        self.found: list[Callable[[str], None]] = []
+        self.listeners: list[Callable[[str], None]] = []
         self._names: set[str] = set()
 
-    def note(self, names: Iterable[str]) -> None:
+    def record(self, names: Iterable[str]) -> None:
         """Take in the names that an answer has beside those that are known."""
         for name in names:
             if name in self._names or len(self._names) >= _MOST_FIELDS:
                 continue
             self._names.add(name)
-            for tell in self.found:
+            for tell in self.listeners:
                 tell(name)
--- a/whinrack/store/base.py
+++ b/whinrack/store/base.py
@@ -10,10 +10,10 @@
 from whinrack.store._types import InstanceRecord, Snapshot, StoredObject, WatchBatch
 from whinrack.store._unknown_fields import UnknownFields
 
-__all__ = ["ObjectStore", "lost_reply"]
+__all__ = ["ObjectStore", "lost_reply_failure"]
 
 
-def lost_reply(method: str, why: str) -> PlatformFailure:
+def lost_reply_failure(method: str, why: str) -> PlatformFailure:
     """Return the failure of an HTTP call whose reply is lost: a write may be done."""
     if method == "GET":
         return ReplyLost(why)
--- a/whinrack/store/tests/test_adaptive_timeout.py
+++ b/whinrack/store/tests/test_adaptive_timeout.py
@@ -14,7 +14,7 @@
 def taught(seconds, count=50):
     timeout = AdaptiveTimeout()
     for _ in range(count):
-        timeout.answered(seconds)
+        timeout.record_response(seconds)
     return timeout
 
 
@@ -26,32 +26,32 @@
     timeout = taught(_QUICK)
     for _ in range(50):
         assert timeout.seconds > _SLOW
-        timeout.answered(_SLOW)
+        timeout.record_response(_SLOW)
 
 
 def test_a_store_slower_than_the_wait_is_reached_by_the_next_call_and_all_later_ones():
     timeout = taught(_QUICK)
     assert timeout.seconds < _SLOWER
-    timeout.lost()
+    timeout.record_timeout()
     for _ in range(50):
         assert timeout.seconds > _SLOWER
-        timeout.answered(_SLOWER)
+        timeout.record_response(_SLOWER)
 
 
 def test_the_wait_is_short_again_after_a_silence():
     timeout = taught(_QUICK)
     for _ in range(5000):
-        timeout.lost()
+        timeout.record_timeout()
     assert timeout.seconds == 0.8
-    timeout.answered(_QUICK)
+    timeout.record_response(_QUICK)
     assert timeout.seconds == pytest.approx(0.5)
 
 
 def test_an_answer_that_was_held_for_an_unknown_time_ends_the_longer_wait_only():
     timeout = taught(_SLOWER)
     usual = timeout.seconds
-    timeout.lost()
-    timeout.answered_within(2 * _SLOWER)
+    timeout.record_timeout()
+    timeout.record_response_within(2 * _SLOWER)
     assert timeout.seconds > usual
-    timeout.answered_within(_QUICK)
+    timeout.record_response_within(_QUICK)
     assert timeout.seconds == usual
--- a/whinrack/store/tests/test_era.py
+++ b/whinrack/store/tests/test_era.py
@@ -5,7 +5,7 @@
 
 def observed(*texts):
     era, told = StoreEra(), []
-    era.changed.append(told.append)
+    era.listeners.append(told.append)
     return era, told, [era.observe(text) for text in texts]
 
 
@@ -31,13 +31,13 @@
     odd = (None, "", "abc", "-1", "1.5", "nan", "²", "9" * 400, "1048576")
     era, told, belongs = observed("2", *odd)
     assert belongs == [2] * (1 + len(odd))
-    assert (era.current, era.unreadable, len(told)) == (2, len(odd) - 1, 1)
+    assert (era.current, era.unreadable_answers, len(told)) == (2, len(odd) - 1, 1)
 
 
 def test_an_era_that_a_peer_heard_is_told_once_too():
     era, told, _ = observed("1")
-    era.learn(2)
+    era.advance_to(2)
     era.observe("2")
-    era.learn(1)
+    era.advance_to(1)
     assert (era.current, era.late_answers) == (2, 0)
     assert told == [EraChange(None, 1), EraChange(1, 2)]
--- a/whinrack/store/tests/test_store.py
+++ b/whinrack/store/tests/test_store.py
@@ -133,9 +133,7 @@
         now[0] += 1e-6
         return now[0]
 
-    store = HttpObjectStore(
-        "127.0.0.1:1", rate=2.0, longest_wait=1.0, clock=clock, sleep=waits.append
-    )
+    store = HttpObjectStore("127.0.0.1:1", rate=2.0, max_wait=1.0, clock=clock, sleep=waits.append)
     store._back_off = lambda result: None
     results = [store.get("K", "n") for _ in range(5)]
     waits = [round(wait, 3) for wait in waits]
@@ -145,8 +143,8 @@
 
 def test_token_bucket_saves_up_to_its_burst():
     bucket = TokenBucket(rate=1.0, burst=2.0)
-    assert [bucket.try_take(0.0) for _ in range(3)] == [True, True, False]
-    assert [bucket.try_take(100.0) for _ in range(3)] == [True, True, False]
+    assert [bucket.try_acquire(0.0) for _ in range(3)] == [True, True, False]
+    assert [bucket.try_acquire(100.0) for _ in range(3)] == [True, True, False]
 
 
 def test_memory_store_agrees_with_the_interface():
