--- a/benchmarks/bench_edge.py
+++ b/benchmarks/bench_edge.py
@@ -100,7 +100,7 @@
 
 def _receivers(table: PeerTable) -> int:
     chosen = table.next_receivers(0.0)
-    return len(chosen.own_hall) + len(chosen.elsewhere)
+    return len(chosen.own_hall) + len(chosen.other_halls)
 
 
 def _table_of(peers: int) -> PeerTable:
--- a/whinrack/edge/_membership.py
+++ b/whinrack/edge/_membership.py
@@ -116,12 +116,12 @@
         message = self._heartbeat(now, self.table.take_states_to_pass_on(now))
         receivers = self.table.next_receivers(now)
         # One peer that answers with all states is enough: 109 bytes for each instance.
-        asked = next(iter([*receivers.own_hall, *receivers.elsewhere]), None)
+        asked = next(iter([*receivers.own_hall, *receivers.other_halls]), None)
         asks = self._asks_for_states(now)
         for address in receivers.own_hall:
             self._send(_asking(message, asks and address == asked), address)
         brief = self._brief(message, now)
-        for address in receivers.elsewhere:
+        for address in receivers.other_halls:
             self._send(_asking(brief, asks and address == asked), address)
         self._log_changes(now)
 
--- a/whinrack/edge/_tokens.py
+++ b/whinrack/edge/_tokens.py
@@ -130,7 +130,7 @@
             giver=self.holder,
             receiver=request.receiver,
             total=total,
-            covering=self.keeper.unreported_use(request.budget),
+            unreported_use=self.keeper.unreported_use(request.budget),
         )
         self.link.send(reply, address)
         if request.to_supplier:
--- a/whinrack/gossip/_messages.py
+++ b/whinrack/gossip/_messages.py
@@ -197,7 +197,7 @@
     giver: str
     receiver: str
     total: int
-    covering: int = 0
+    unreported_use: int = 0
 
 
 class DrawRequest(msgspec.Struct, frozen=True, array_like=True, tag="draw"):
--- a/whinrack/gossip/_peers.py
+++ b/whinrack/gossip/_peers.py
@@ -70,7 +70,7 @@
     """
 
     own_hall: list[tuple[str, int]]
-    elsewhere: list[tuple[str, int]]
+    other_halls: list[tuple[str, int]]
 
 
 class PeerTable:
@@ -218,7 +218,7 @@
         """Return the addresses to send the next heartbeat to."""
         self._forget(now)
         if self.is_full_mesh:
-            return Receivers(own_hall=list(self._addresses), elsewhere=[])
+            return Receivers(own_hall=list(self._addresses), other_halls=[])
         live = self.live_peers(now)
         near = {view.state.sender.address for view in live if self.is_in_own_hall(view.state)}
         far = {view.state.sender.address for view in live} - near
@@ -227,7 +227,7 @@
         in_hall = max(_FANOUT_IN_HALL, _FANOUT - len(far))
         chosen = self._next_in_turn(self._near_turns, near, in_hall)
         others = self._next_in_turn(self._far_turns, far, _FANOUT - len(chosen))
-        return Receivers(own_hall=chosen, elsewhere=[*others, *tried])
+        return Receivers(own_hall=chosen, other_halls=[*others, *tried])
 
     def is_in_own_hall(self, state: PeerState) -> bool:
         """Whether an instance is in the own data hall."""
--- a/whinrack/gossip/_token_source.py
+++ b/whinrack/gossip/_token_source.py
@@ -39,7 +39,7 @@
 
     def add(self, reply: TokenReply) -> None:
         """Take in a reply; wakes the asker with the last one."""
-        self.replies[reply.giver] = TransferTotal(reply.giver, reply.total, reply.covering)
+        self.replies[reply.giver] = TransferTotal(reply.giver, reply.total, reply.unreported_use)
         if len(self.replies) >= self.expected and not self.done.ready():
             self.done.send(None)
 
--- a/whinrack/gossip/tests/test_peers.py
+++ b/whinrack/gossip/tests/test_peers.py
@@ -45,7 +45,7 @@
 def addresses_of(peers, now):
     """Return all addresses that the next heartbeat goes to."""
     receivers = peers.next_receivers(now)
-    return [*receivers.own_hall, *receivers.elsewhere]
+    return [*receivers.own_hall, *receivers.other_halls]
 
 
 def names(views):
@@ -262,13 +262,13 @@
     for _ in range(40):
         receivers = peers.next_receivers(0.0)
         assert halls_of(peers, receivers.own_hall, 0.0) == ["h0"] * 5
-        assert len(receivers.elsewhere) == 1
-        assert "h0" not in halls_of(peers, receivers.elsewhere, 0.0)
+        assert len(receivers.other_halls) == 1
+        assert "h0" not in halls_of(peers, receivers.other_halls, 0.0)
 
 
 def test_all_other_halls_get_heartbeats_in_turn():
     peers = fleet_in_halls(of_each=10)
-    far = [address for _ in range(40) for address in peers.next_receivers(0.0).elsewhere]
+    far = [address for _ in range(40) for address in peers.next_receivers(0.0).other_halls]
     assert len(set(far)) == 40
 
 
@@ -277,7 +277,7 @@
     for number in range(30):
         peers.record_heartbeat(beat(name=f"p{number}", port=number, data_hall="h1"), 0.0)
     receivers = peers.next_receivers(0.0)
-    assert (len(receivers.own_hall), len(receivers.elsewhere)) == (0, 6)
+    assert (len(receivers.own_hall), len(receivers.other_halls)) == (0, 6)
 
 
 def test_a_hall_without_others_gets_all_heartbeats():
@@ -285,7 +285,7 @@
     for number in range(30):
         peers.record_heartbeat(beat(name=f"p{number}", port=number), 0.0)
     receivers = peers.next_receivers(0.0)
-    assert (len(receivers.own_hall), len(receivers.elsewhere)) == (6, 0)
+    assert (len(receivers.own_hall), len(receivers.other_halls)) == (6, 0)
 
 
 def test_another_hall_is_told_of_the_own_hall_only():
@@ -393,7 +393,7 @@
     )
     receivers = peers.next_receivers(now)
     near = [(address, message) for address in receivers.own_hall]
-    return near + [(address, brief) for address in receivers.elsewhere]
+    return near + [(address, brief) for address in receivers.other_halls]
 
 
 def test_an_instance_that_ended_is_named_nowhere_soon_after_not_even_by_hearsay():
