--- a/whinrack/budgets/__init__.py
+++ b/whinrack/budgets/__init__.py
@@ -16,7 +16,7 @@
     TransferTotal,
 )
 from whinrack.budgets._demand import DemandEstimate
-from whinrack.budgets._draw_results import draw_result, read_books, results_for_holder
+from whinrack.budgets._draw_results import draw_result, holder_result, results_for_holder
 from whinrack.budgets._grant import GrantOptions
 from whinrack.budgets._grant_manager import GrantManager
 from whinrack.budgets._ledger import BudgetLedger, Cover
@@ -64,7 +64,7 @@
     "apply_topups",
     "results_for_holder",
     "draw_result",
-    "read_books",
+    "holder_result",
     "find_earlier_runs",
     "release_earlier_runs",
     "release_holder",
--- a/whinrack/budgets/_account.py
+++ b/whinrack/budgets/_account.py
@@ -247,6 +247,6 @@
     taken: int = 0
 
     @property
-    def left(self) -> int:
+    def unspent(self) -> int:
         """Tokens that are not spent, as far as the holders have reported."""
         return self.free + self.outstanding
--- a/whinrack/budgets/_account_updates.py
+++ b/whinrack/budgets/_account_updates.py
@@ -3,12 +3,12 @@
 import xxhash
 
 from whinrack.budgets._account import AccountRow, BudgetAccount, BudgetEntry, DrawOrder
-from whinrack.budgets._store_restore import is_of_earlier_era, learn_taken
+from whinrack.budgets._store_restore import is_order_of_earlier_era, update_known_taken
 
 __all__ = ["account_name", "apply_draws", "apply_topups"]
 
 # All holders together hold at most one part in so many of what is left.
-_SHARE_OF_LEFT = 2
+_UNSPENT_DIVISOR = 2
 # The same part of what is left, as a percentage, for holders that keep to a schedule.
 _SCHEDULED_PERCENT = 75
 
@@ -50,7 +50,7 @@
     row = entry.rows.get(order.holder)
     if row is None:
         # A late copy of an order whose holder has been folded away, unless the store lost the row.
-        if not (order.opening or is_of_earlier_era(account, order)):
+        if not (order.opening or is_order_of_earlier_era(account, order)):
             return False
         row = entry.rows[order.holder] = AccountRow()
     if row.closed or order.sequence <= row.sequence:
@@ -58,7 +58,7 @@
     if order.limit_version > entry.declared_version:
         entry.declared = order.limit
         entry.declared_version = order.limit_version
-    learn_taken(account, entry, order)
+    update_known_taken(account, entry, order)
     taken_before = entry.taken
     _record_received(account, entry, row, order)
     row.drawn = max(row.drawn, order.drawn)
@@ -74,15 +74,15 @@
     row.unproven = max(row.unproven, order.unproven)
     row.returned = max(row.returned, order.returned)
     if order.final:
-        _close(row, order)
+        _close_row(row, order)
     elif not account.is_held:
         row.drawn += _grant_size(entry, order)
     row.sequence = order.sequence
-    _fold(entry, order.holder)
+    _settle_closed_row(entry, order.holder)
     return True
 
 
-def _close(row: AccountRow, order: DrawOrder) -> None:
+def _close_row(row: AccountRow, order: DrawOrder) -> None:
     row.closed = True
     if order.given is not None:
         unused = row.outstanding - (order.given - row.moved_out)
@@ -110,7 +110,7 @@
             source.unproven -= written_off
             source.returned -= correction - written_off
         source.moved_out += more
-        _fold(entry, giver)
+        _settle_closed_row(entry, giver)
 
 
 def _grant_size(entry: BudgetEntry, order: DrawOrder) -> int:
@@ -124,7 +124,7 @@
         return 0
     live = [row for row in entry.rows.values() if not row.closed]
     left = entry.free + sum(row.outstanding for row in live)
-    fair = left // (_SHARE_OF_LEFT * max(1, len(live)))
+    fair = left // (_UNSPENT_DIVISOR * max(1, len(live)))
     room = fair - entry.rows[order.holder].outstanding
     if order.schedule is not None:
         # What dies with a holder that keeps to a schedule comes back: one may hold the
@@ -135,7 +135,7 @@
     return max(0, min(size, entry.free))
 
 
-def _fold(entry: BudgetEntry, holder: str) -> None:
+def _settle_closed_row(entry: BudgetEntry, holder: str) -> None:
     row = entry.rows[holder]
     if row.released or not row.closed or row.outstanding != 0:
         return
--- a/whinrack/budgets/_account_writer.py
+++ b/whinrack/budgets/_account_writer.py
@@ -14,7 +14,12 @@
     find_earlier_runs,
     release_earlier_runs,
 )
-from whinrack.budgets._store_restore import are_of_earlier_era, end_hold, is_later, restored
+from whinrack.budgets._store_restore import (
+    end_hold,
+    is_account_of_earlier_era,
+    is_later,
+    restore_account,
+)
 from whinrack.clock import steady
 from whinrack.exceptions import NotFound, PlatformFailure
 from whinrack.store import ObjectEditor, ObjectStore
@@ -57,7 +62,7 @@
         return any(order.need or order.final for order in self.orders)
 
 
-def _no_pause(batch: OrderBatch) -> None:
+def _write_at_once(batch: OrderBatch) -> None:
     """Write at once."""
 
 
@@ -106,7 +111,7 @@
         self,
         store: ObjectStore,
         make_lock: Callable,
-        before_write: Callable[[OrderBatch], None] = _no_pause,
+        before_write: Callable[[OrderBatch], None] = _write_at_once,
         clock: Callable[[], float] = steady,
         **editor_options,
     ):
@@ -141,20 +146,20 @@
         Returns
         -------
         BudgetAccount
-            All books of the account after the write.
+            All state of the account after the write.
         """
         account = orders[0].account
         batch = self._batches.setdefault(account, OrderBatch())
         batch.orders.extend(orders)
-        return self._written(account, batch)
+        return self._write(account, batch)
 
     def find_earlier_runs(self, account: str, holder: str) -> Result[list[str], PlatformFailure]:
         """Read which earlier runs of the holder's instance have open rows."""
-        books = self._editor.read(account)
-        books.map(lambda value: self._remember(account, value))
-        if isinstance(books, Failure) and isinstance(books.failure(), NotFound):
+        result = self._editor.read(account)
+        result.map(lambda value: self._update_latest(account, value))
+        if isinstance(result, Failure) and isinstance(result.failure(), NotFound):
             return Success([])
-        return books.map(lambda value: find_earlier_runs(value, holder))
+        return result.map(lambda value: find_earlier_runs(value, holder))
 
     def release_runs(
         self, account: str, release: RunRelease
@@ -162,9 +167,9 @@
         """Give back what earlier runs of an instance held and can't have used."""
         batch = self._batches.setdefault(account, OrderBatch())
         batch.releases.append(release)
-        return self._written(account, batch).map(lambda _: batch.released[release.holder])
+        return self._write(account, batch).map(lambda _: batch.released[release.holder])
 
-    def _written(self, account: str, batch: OrderBatch) -> Result[BudgetAccount, PlatformFailure]:
+    def _write(self, account: str, batch: OrderBatch) -> Result[BudgetAccount, PlatformFailure]:
         """Write a batch unless another of its orders has done so; returns the books."""
         lock = self._locks.setdefault(account, self.make_lock())
         with lock:
@@ -172,37 +177,37 @@
                 self.before_write(batch)
                 self._batches.pop(account)
                 batch.result = self._editor.apply(
-                    account, lambda books: self._changed(account, batch, books)
+                    account, lambda state: self._apply_batch(account, batch, state)
                 )
-                batch.result.map(lambda books: self._remember(account, books))
+                batch.result.map(lambda state: self._update_latest(account, state))
         return batch.result
 
-    def _remember(self, account: str, books: BudgetAccount) -> None:
+    def _update_latest(self, account: str, state: BudgetAccount) -> None:
         latest = self._latest.get(account)
-        if latest is None or is_later(books, latest):
-            self._latest[account] = books
+        if latest is None or is_later(state, latest):
+            self._latest[account] = state
 
-    def _changed(
-        self, account: str, batch: OrderBatch, books: BudgetAccount | None
+    def _apply_batch(
+        self, account: str, batch: OrderBatch, state: BudgetAccount | None
     ) -> BudgetAccount | None:
         """Return the books after a batch, None where nothing is left to do."""
-        books = self._in_this_era(account, books)
-        changed = batch.apply(books)
+        state = self._recover(account, state)
+        changed = batch.apply(state)
         if changed is not None:
             changed.era = max(changed.era or 0, self.store.era.current)
             changed.edition += 1
         return changed
 
-    def _in_this_era(self, account: str, books: BudgetAccount | None) -> BudgetAccount | None:
+    def _recover(self, account: str, state: BudgetAccount | None) -> BudgetAccount | None:
         """Return books to go on with, whatever the store lost of them."""
         era, now = self.store.era.current, self.clock()
         latest = self._latest.get(account)
-        is_lost = books is None and latest is not None
-        if is_lost or (books is not None and are_of_earlier_era(books, era)):
-            books = restored(books, latest, era)
+        is_lost = state is None and latest is not None
+        if is_lost or (state is not None and is_account_of_earlier_era(state, era)):
+            state = restore_account(state, latest, era)
             self._held_since[account] = now
-        if books is not None and books.is_held:
+        if state is not None and state.is_held:
             since = self._held_since.setdefault(account, now)
             if now - since >= _HOLD_SECONDS:
-                end_hold(books)
-        return books
+                end_hold(state)
+        return state
--- a/whinrack/budgets/_budget_manager.py
+++ b/whinrack/budgets/_budget_manager.py
@@ -16,14 +16,14 @@
 
 __all__ = ["BudgetManager", "SpareTokenSource", "TransferTotal", "TokenSource"]
 
-_NO_FREE_FIRST = 0.5
-_NO_FREE_LONGEST = 5.0
+_MIN_NO_FREE_BACKOFF = 0.5
+_MAX_NO_FREE_BACKOFF = 5.0
 _NO_SPARE_SECONDS = 0.2
-_WISH_PAUSE = 10.0
+_DRAW_AHEAD_INTERVAL = 10.0
 _GATHER_WAIT = 1.0
 _GATHER_PAUSE = 0.1
-_IDLE_SURPLUS = 2
-_CONTENDED_RETRY = 1.0
+_SURPLUS_FACTOR = 2
+_CONTENDED_RETRY_AFTER = 1.0
 
 
 class TokenSource:
@@ -82,7 +82,7 @@
         return ()
 
 
-class _Held:
+class _Holding:
     """One budget's state in the keeper."""
 
     def __init__(self, ledger: BudgetLedger, lock: AbstractContextManager):
@@ -91,12 +91,12 @@
         self.demand = DemandEstimate()
         # Until then the books aren't asked, since they had nothing free.
         self.no_free_until = 0.0
-        self.no_free_seconds = _NO_FREE_FIRST
+        self.no_free_backoff = _MIN_NO_FREE_BACKOFF
         # Until then the peers aren't asked, since they had nothing either.
         self.no_spare_until = 0.0
-        self.reported_at = 0.0
-        self.wished_at = float("-inf")
-        self.last: DrawResult | None = None
+        self.last_report_at = 0.0
+        self.last_draw_ahead_at = float("-inf")
+        self.last_result: DrawResult | None = None
 
 
 class BudgetManager:
@@ -144,25 +144,25 @@
         self.clock = clock
         self.sleep = sleep
         self.make_lock = make_lock
-        self.stopping = False
-        self._holdings: dict[str, _Held] = {}
+        self.is_stopping = False
+        self._holdings: dict[str, _Holding] = {}
         # Those with something to report, to draw ahead or to return.
-        self._active: dict[str, _Held] = {}
+        self._active: dict[str, _Holding] = {}
 
     def cover(
         self, account: str, budget: str, tokens: int, weighting: Weighting
     ) -> Result[Cover, Refusal]:
         """Set tokens aside for one request, drawing more where that is needed."""
-        held = self._get(account, budget)
-        held.demand.record(tokens, self.clock())
-        cover = held.ledger.open(tokens)
+        holding = self._holding(account, budget)
+        holding.demand.record(tokens, self.clock())
+        cover = holding.ledger.open(tokens)
         if isinstance(cover, Success):
             return cover
         patience = self.gather_wait if weighting is Weighting.FALSE_REFUSALS else 0.0
         end = self.clock() + patience
         while True:
-            with held.lock:
-                cover = self._refill(held, tokens)
+            with holding.lock:
+                cover = self._refill(holding, tokens)
             if isinstance(cover, Success) or self.clock() >= end:
                 return cover
             if isinstance(cover.failure(), BudgetExhausted):
@@ -176,12 +176,12 @@
 
         What is settled here is reported soon, so that the peer learns what is left.
         """
-        held = self._holdings.get(budget)
-        if held is None:
+        holding = self._holdings.get(budget)
+        if holding is None:
             return 0
-        held.reported_at = float("-inf")
-        self._active[budget] = held
-        return held.ledger.give(receiver, already_received, need, wish)
+        holding.last_report_at = float("-inf")
+        self._active[budget] = holding
+        return holding.ledger.give(receiver, already_received, need, wish)
 
     def report(self, include_idle: bool = False) -> int:
         """Report settled amounts, draw ahead and return surplus.
@@ -193,122 +193,128 @@
         """
         if include_idle:
             self._active.update(self._holdings)
-        return sum(self._report_one(held, include_idle) for held in list(self._active.values()))
+        return sum(
+            self._report_one(holding, include_idle) for holding in list(self._active.values())
+        )
 
     def drain(self) -> bool:
         """Give everything back for a planned stop; True once the books know it."""
-        self.stopping = True
-        drained = [self._drain_one(held) for held in list(self._holdings.values())]
+        self.is_stopping = True
+        drained = [self._drain_one(holding) for holding in list(self._holdings.values())]
         return all(drained)
 
     def ledgers(self) -> list[BudgetLedger]:
         """Return the ledgers, for status and metrics."""
-        return [held.ledger for held in self._holdings.values()]
+        return [holding.ledger for holding in self._holdings.values()]
 
-    def _get(self, account: str, budget: str) -> _Held:
-        held = self._holdings.get(budget)
-        if held is None:
+    def _holding(self, account: str, budget: str) -> _Holding:
+        holding = self._holdings.get(budget)
+        if holding is None:
             ledger = BudgetLedger(account, budget, self.holder)
-            held = self._holdings[budget] = _Held(ledger, self.make_lock())
-        self._active[budget] = held
-        return held
+            holding = self._holdings[budget] = _Holding(ledger, self.make_lock())
+        self._active[budget] = holding
+        return holding
 
-    def _refill(self, held: _Held, tokens: int) -> Result[Cover, Refusal]:
-        ledger = held.ledger
+    def _refill(self, holding: _Holding, tokens: int) -> Result[Cover, Refusal]:
+        ledger = holding.ledger
         cover = ledger.open(tokens)
         if isinstance(cover, Success):
             return cover
-        for ask in (self._draw, self._gather):
-            ask(held, tokens - ledger.spendable)
+        for obtain in (self._draw, self._request_from_peers):
+            obtain(holding, tokens - ledger.spendable)
             cover = ledger.open(tokens)
             if isinstance(cover, Success):
                 return cover
-        return Failure(_refusal(held, tokens))
+        return Failure(_refusal(holding, tokens))
 
-    def _draw(self, held: _Held, need: int) -> None:
+    def _draw(self, holding: _Holding, need: int) -> None:
         now = self.clock()
-        if now < held.no_free_until:
+        if now < holding.no_free_until:
             return
-        want = self._want(held)
-        self._send(held, held.ledger.next_order(need=need, want=want))
+        want = self._wanted_tokens(holding)
+        self._send(holding, holding.ledger.next_order(need=need, want=want))
 
-    def _send(self, held: _Held, order: DrawOrder) -> bool:
-        held.reported_at = self.clock()
+    def _send(self, holding: _Holding, order: DrawOrder) -> bool:
+        holding.last_report_at = self.clock()
         result = self.source.draw(order)
         if isinstance(result, Failure):
-            held.last = None
+            holding.last_result = None
             return False
-        held.last = result.unwrap()
-        held.ledger.apply_result(order, held.last)
-        self._pace(held)
+        holding.last_result = result.unwrap()
+        holding.ledger.apply_result(order, holding.last_result)
+        self._update_no_free_backoff(holding)
         return True
 
-    def _pace(self, held: _Held) -> None:
+    def _update_no_free_backoff(self, holding: _Holding) -> None:
         """Ask books that have nothing free more and more rarely."""
-        if held.last.free > 0:
-            held.no_free_until = 0.0
-            held.no_free_seconds = _NO_FREE_FIRST
+        if holding.last_result.free > 0:
+            holding.no_free_until = 0.0
+            holding.no_free_backoff = _MIN_NO_FREE_BACKOFF
             return
-        held.no_free_until = self.clock() + held.no_free_seconds
-        held.no_free_seconds = min(_NO_FREE_LONGEST, 2 * held.no_free_seconds)
+        holding.no_free_until = self.clock() + holding.no_free_backoff
+        holding.no_free_backoff = min(_MAX_NO_FREE_BACKOFF, 2 * holding.no_free_backoff)
 
-    def _gather(self, held: _Held, need: int) -> None:
-        ledger, now = held.ledger, self.clock()
-        if now < held.no_spare_until:
+    def _request_from_peers(self, holding: _Holding, need: int) -> None:
+        ledger, now = holding.ledger, self.clock()
+        if now < holding.no_spare_until:
             return
         before = ledger.spendable
-        wish = self._want(held)
+        wish = self._wanted_tokens(holding)
         received = dict(ledger.received)
         for spare in self.spares.request_from_peers(ledger.budget, need, wish, received):
             ledger.receive(spare.giver, spare.total)
         if ledger.spendable < before + need:
-            held.no_spare_until = now + _NO_SPARE_SECONDS
+            holding.no_spare_until = now + _NO_SPARE_SECONDS
 
-    def _report_one(self, held: _Held, everything: bool) -> int:
-        ledger = held.ledger
-        if ledger.is_closed or self._idle(held):
+    def _report_one(self, holding: _Holding, include_idle: bool) -> int:
+        ledger = holding.ledger
+        if ledger.is_closed or self._is_idle(holding):
             self._active.pop(ledger.budget, None)
             return 0
         now = self.clock()
-        want = self._want(held)
-        surplus = ledger.spendable - _IDLE_SURPLUS * want
+        want = self._wanted_tokens(holding)
+        surplus = ledger.spendable - _SURPLUS_FACTOR * want
         if surplus > want:
-            ledger.give_back(surplus)
-        short = 0 if self.stopping or now < held.no_free_until else want - ledger.spendable
-        wish = short if short > want // 2 and now >= held.wished_at + _WISH_PAUSE else 0
-        due = ledger.has_unreported_totals and now >= held.reported_at + self.report_after
-        if not (wish or due or everything):
+            ledger.return_tokens(surplus)
+        short = 0 if self.is_stopping or now < holding.no_free_until else want - ledger.spendable
+        wish = (
+            short
+            if short > want // 2 and now >= holding.last_draw_ahead_at + _DRAW_AHEAD_INTERVAL
+            else 0
+        )
+        due = ledger.has_unreported_totals and now >= holding.last_report_at + self.report_after
+        if not (wish or due or include_idle):
             return 0
         if wish:
-            held.wished_at = now
-        with held.lock:
-            sent = self._send(held, ledger.next_order(want=wish))
+            holding.last_draw_ahead_at = now
+        with holding.lock:
+            sent = self._send(holding, ledger.next_order(want=wish))
         return 0 if sent else 1
 
-    def _want(self, held: _Held) -> int:
-        return held.demand.want(self.clock(), self.horizon)
+    def _wanted_tokens(self, holding: _Holding) -> int:
+        return holding.demand.expected_tokens(self.clock(), self.horizon)
 
-    def _idle(self, held: _Held) -> bool:
+    def _is_idle(self, holding: _Holding) -> bool:
         """Whether nothing is left to do for a budget until it is used again."""
-        ledger = held.ledger
+        ledger = holding.ledger
         empty = ledger.spendable == 0 and ledger.open_cover == 0
-        return empty and not ledger.has_unreported_totals and not self._want(held)
+        return empty and not ledger.has_unreported_totals and not self._wanted_tokens(holding)
 
-    def _drain_one(self, held: _Held) -> bool:
-        ledger = held.ledger
+    def _drain_one(self, holding: _Holding) -> bool:
+        ledger = holding.ledger
         if ledger.sequence == 0 or ledger.is_closed:
             return True
-        with held.lock:
-            ledger.give_back(ledger.spendable)
-            return self._send(held, ledger.next_order(final=ledger.open_cover == 0))
+        with holding.lock:
+            ledger.return_tokens(ledger.spendable)
+            return self._send(holding, ledger.next_order(final=ledger.open_cover == 0))
 
 
-def _refusal(held: _Held, tokens: int) -> Refusal:
-    last = held.last
+def _refusal(holding: _Holding, tokens: int) -> Refusal:
+    last = holding.last_result
     if last is None:
         return BudgetContended(
             "the budget's books can't be reached and the tokens held here don't suffice",
-            retry_after=_CONTENDED_RETRY,
+            retry_after=_CONTENDED_RETRY_AFTER,
         )
     left = last.free + last.outstanding
     if tokens > left:
@@ -317,5 +323,5 @@
         )
     return BudgetContended(
         f"the request needs cover for {tokens} tokens, which other requests hold now",
-        retry_after=_CONTENDED_RETRY,
+        retry_after=_CONTENDED_RETRY_AFTER,
     )
--- a/whinrack/budgets/_covers.py
+++ b/whinrack/budgets/_covers.py
@@ -7,17 +7,17 @@
 from whinrack.budgets._budget_manager import SpareTokenSource
 from whinrack.budgets._grant import Grant, GrantOptions
 from whinrack.budgets._ledger import Cover
-from whinrack.budgets._orders import BookOrders
-from whinrack.budgets._peer_tokens import PeerTokens
+from whinrack.budgets._orders import GrantOrders
+from whinrack.budgets._peer_tokens import PeerTokenClient
 from whinrack.exceptions import BudgetContended, BudgetExhausted, Refusal
 
-__all__ = ["GrantCovers"]
+__all__ = ["CoverAllocator"]
 
 # For so long the books that had nothing free aren't asked again.
-_NOTHING_FREE_SECONDS = 1.3
+_NO_FREE_SECONDS = 1.3
 
 
-class GrantCovers:
+class CoverAllocator:
     """Sets tokens of grants aside for requests and peers.
 
     Parameters
@@ -31,7 +31,7 @@
 
     def __init__(
         self,
-        orders: BookOrders,
+        orders: GrantOrders,
         spares: SpareTokenSource,
         options: GrantOptions,
         clock: Callable[[], float],
@@ -40,12 +40,12 @@
         self.spares = spares
         self.options = options
         self.clock = clock
-        self.peers = PeerTokens(spares, options, clock)
+        self.peers = PeerTokenClient(spares, options, clock)
 
     def cover(self, grant: Grant, tokens: int) -> Result[Cover, Refusal]:
         """Set tokens aside for one request: from here, from the books, from peers."""
-        grant.largest = max(grant.largest, tokens)
-        cover = self._open(grant, tokens)
+        grant.largest_request = max(grant.largest_request, tokens)
+        cover = self._open_cover(grant, tokens)
         if isinstance(cover, Failure):
             cover = self._wait_and_refill(grant, tokens)
         if isinstance(cover, Success):
@@ -53,17 +53,17 @@
             grant.demand.record(tokens, self.clock())
         return cover
 
-    def make_usable(self, grant: Grant, tokens: int, draw: bool) -> None:
+    def ensure_usable(self, grant: Grant, tokens: int, draw: bool) -> None:
         """State in the books what a peer is to get, together with others that wait."""
-        if not self.orders.books_answer or not self._short(grant, tokens, draw):
+        if not self.orders.is_store_reachable or not self._needs_draw(grant, tokens, draw):
             return
-        if self._nothing_free(grant) and grant.ledger.spendable < tokens:
+        if self._has_no_free_tokens(grant) and grant.ledger.spendable < tokens:
             return
-        with grant.turn(tokens):
-            if self._short(grant, tokens, draw):
+        with grant.locked(tokens):
+            if self._needs_draw(grant, tokens, draw):
                 self._draw(grant, tokens)
 
-    def _open(self, grant: Grant, tokens: int) -> Result[Cover, Refusal]:
+    def _open_cover(self, grant: Grant, tokens: int) -> Result[Cover, Refusal]:
         usable = grant.usable(self.clock())
         if tokens > usable:
             return Failure(
@@ -77,41 +77,45 @@
     def _retry_after(self) -> float:
         """Seconds after which tokens may be had: soon, or when the books may be back."""
         options = self.options
-        return options.retry_after if self.orders.books_answer else options.away_retry_after
+        return (
+            options.retry_after
+            if self.orders.is_store_reachable
+            else options.unreachable_retry_after
+        )
 
     def _wait_and_refill(self, grant: Grant, tokens: int) -> Result[Cover, Refusal]:
         """Wait for requests that came before; what they brought may suffice for this one.
 
-        A round of questions for as much that began after this request came, and failed, was
+        A round of questions for as much that started_at after this request came, and failed, was
         made for it too. Without that, 70 requests a second for one short budget queued for up
         to 5 seconds before they were refused one by one.
         """
         arrived = self.clock()
-        with grant.turn(tokens):
-            cover = self._open(grant, tokens)
+        with grant.locked(tokens):
+            cover = self._open_cover(grant, tokens)
             if isinstance(cover, Success):
                 return cover
-            if grant.round_failed_since(arrived, tokens):
-                return self._refused(grant, tokens, cover)
-            began = self.clock()
+            if grant.has_failed_round_since(arrived, tokens):
+                return self._refusal(grant, tokens, cover)
+            started_at = self.clock()
             cover = self._refill(grant, tokens)
             if isinstance(cover, Failure):
-                grant.note_failed_round(tokens, began)
+                grant.record_failed_round(tokens, started_at)
             return cover
 
     def _refill(self, grant: Grant, tokens: int) -> Result[Cover, Refusal]:
-        cover = self._open(grant, tokens)
-        ways = self._ways(grant, tokens)
-        if ways:
-            grant.covering_elsewhere.clear()
-        for ask in ways:
-            ask(grant, tokens)
-            cover = self._open(grant, tokens)
+        cover = self._open_cover(grant, tokens)
+        steps = self._refill_steps(grant, tokens)
+        if steps:
+            grant.unreported_use_by_peer.clear()
+        for obtain in steps:
+            obtain(grant, tokens)
+            cover = self._open_cover(grant, tokens)
             if isinstance(cover, Success):
                 return cover
-        return self._refused(grant, tokens, cover)
+        return self._refusal(grant, tokens, cover)
 
-    def _refused(
+    def _refusal(
         self, grant: Grant, tokens: int, contended: Result[Cover, Refusal]
     ) -> Result[Cover, Refusal]:
         """Tell whether the budget is exhausted, or its tokens are held elsewhere."""
@@ -119,23 +123,23 @@
             return Failure(BudgetExhausted(_left_text(grant, tokens)))
         return contended
 
-    def _ways(self, grant: Grant, tokens: int) -> tuple[Callable[[Grant, int], None], ...]:
+    def _refill_steps(self, grant: Grant, tokens: int) -> tuple[Callable[[Grant, int], None], ...]:
         """Return what to try for more tokens, in order."""
-        if grant.is_scarce(tokens, self.clock(), self.options.scarce_seconds):
+        if grant.has_recent_shortage(tokens, self.clock(), self.options.shortage_seconds):
             return ()
         supplied = not self.spares.is_supplier(grant.ledger.budget)
         peers = self.peers
-        first = (peers.ask_supplier,) if supplied else ()
-        if not self.orders.books_answer:
-            return *first, peers.gather, peers.borrow
-        if self._nothing_free(grant) and grant.ledger.spendable < tokens:
-            return *first, peers.gather
-        return *first, self._draw, peers.gather
-
-    def _nothing_free(self, grant: Grant) -> bool:
+        first = (peers.request_from_supplier,) if supplied else ()
+        if not self.orders.is_store_reachable:
+            return *first, peers.request_from_peers, peers.request_peer_draw
+        if self._has_no_free_tokens(grant) and grant.ledger.spendable < tokens:
+            return *first, peers.request_from_peers
+        return *first, self._draw, peers.request_from_peers
+
+    def _has_no_free_tokens(self, grant: Grant) -> bool:
         """Whether the books said a moment ago that nothing is free."""
-        fresh = self.clock() - grant.learnt_at < _NOTHING_FREE_SECONDS
-        return fresh and grant.last is not None and grant.last.free <= 0
+        fresh = self.clock() - grant.last_result_at < _NO_FREE_SECONDS
+        return fresh and grant.last_result is not None and grant.last_result.free <= 0
 
     def _is_exhausted(self, grant: Grant, tokens: int) -> bool:
         """Whether the budget can't cover a request beside those that run now.
@@ -143,9 +147,9 @@
         What was left when the books answered last is an upper bound until the limit is
         raised, however long ago that was.
         """
-        return self.orders.books_know_limit(grant) and tokens > grant.unspent_at_most()
+        return self.orders.is_limit_stored(grant) and tokens > grant.unspent_bound()
 
-    def _short(self, grant: Grant, tokens: int, draw: bool) -> bool:
+    def _needs_draw(self, grant: Grant, tokens: int, draw: bool) -> bool:
         """Whether a peer can't get tokens before the books know of it."""
         if grant.usable(self.clock()) >= tokens:
             return False
@@ -156,10 +160,10 @@
             return
         # A request doesn't wait for an order that a silent store holds up; peers may
         # have what it needs. The order's outcome is learnt whenever it comes.
-        order = self.orders.order(grant, need=tokens)
-        self.orders.send([order], self.options.draw_patience)
+        order = self.orders.make_order(grant, need=tokens)
+        self.orders.send([order], self.options.draw_timeout)
 
 
 def _left_text(grant: Grant, tokens: int) -> str:
-    left = grant.unspent_at_most()
+    left = grant.unspent_bound()
     return f"the request needs cover for {tokens} tokens, the budget has {left} left"
--- a/whinrack/budgets/_draw_results.py
+++ b/whinrack/budgets/_draw_results.py
@@ -4,12 +4,12 @@
 
 from whinrack.budgets._account import AccountRow, BudgetAccount, DrawOrder, DrawResult
 
-__all__ = ["results_for_holder", "draw_result", "read_books"]
+__all__ = ["results_for_holder", "draw_result", "holder_result"]
 
 _NO_ROW = AccountRow()
 
 
-def read_books(account: BudgetAccount | None, budget: str, holder: str) -> DrawResult:
+def holder_result(account: BudgetAccount | None, budget: str, holder: str) -> DrawResult:
     """Read what the books say of a budget, and of what a holder has of it."""
     entry = account.budgets.get(budget) if account is not None else None
     if entry is None:
@@ -32,7 +32,7 @@
 
 def draw_result(account: BudgetAccount | None, order: DrawOrder) -> DrawResult:
     """Read what the books say to the holder of an order."""
-    result = read_books(account, order.budget, order.holder)
+    result = holder_result(account, order.budget, order.holder)
     if account is None or order.opening or order.budget not in account.budgets:
         return result
     if order.holder in account.budgets[order.budget].rows:
@@ -45,6 +45,6 @@
 ) -> dict[str, DrawResult]:
     """Read the state of every budget for a holder, after its orders were applied."""
     names = account.budgets if account is not None else ()
-    books = {name: read_books(account, name, holder) for name in names}
-    books.update({order.budget: draw_result(account, order) for order in orders})
-    return books
+    results = {name: holder_result(account, name, holder) for name in names}
+    results.update({order.budget: draw_result(account, order) for order in orders})
+    return results
--- a/whinrack/budgets/_grant.py
+++ b/whinrack/budgets/_grant.py
@@ -16,11 +16,11 @@
 # A schedule of an idle grant is stated anew after so long, so that it releases little.
 _IDLE_SECONDS = 2.0
 # For so long after it lent tokens a run counts as a lender: borrowers ask each second or so.
-_LENDER_SECONDS = 2.0
+_LENDING_SECONDS = 2.0
 # Requests of the largest size that a budget which lasts for long releases at once: they come in
 # pairs by chance. With one, 25 of 119 requests of a seldom used budget were refused in outages
 # of 8 s though its supplier held ten times as much.
-_REQUESTS_OF_PLENTY = 2
+_REQUESTS_WHEN_PLENTIFUL = 2
 # Digits that schedules are written with, to keep the books small.
 _RATE_DIGITS = 1
 _CLOCK_DIGITS = 3
@@ -76,26 +76,26 @@
 
     horizon: float = 12.0
     young_horizon: float = 30.0
-    young_part: float = 0.5
+    young_fraction: float = 0.5
     young_seconds: float = 15.0
     release_seconds: float = 1.5
     release_factor: float = 1.4
     plenty_seconds: float = 20.0
-    release_most: float = 2.5
+    max_release_factor: float = 2.5
     release_delay: float = 1.5
-    release_part: float = 0.1
+    release_fraction: float = 0.1
     release_horizon: float = 15.0
     outage_seconds: float = 8.5
-    scarce_horizon: float = 30.0
-    store_patience: float = 0.4
-    draw_patience: float = 0.7
+    plentiful_seconds: float = 30.0
+    store_timeout: float = 0.4
+    draw_timeout: float = 0.7
     retry_after: float = 0.4
-    away_retry_after: float = 4.0
-    loan_seconds: float = 2.0
+    unreachable_retry_after: float = 4.0
+    peer_draw_seconds: float = 2.0
     supply_seconds: float = 0.5
-    report_seconds: float = 1.0
-    opening_part: float = 0.02
-    scarce_seconds: float = 0.15
+    report_interval: float = 1.0
+    opening_fraction: float = 0.02
+    shortage_seconds: float = 0.15
 
 
 class Grant:
@@ -107,96 +107,98 @@
         self.guard = ReleaseGuard()
         self.demand = DemandEstimate(_HALF_LIFE_SECONDS)
         # Of all holders, as the books tell.
-        self.spending = DemandEstimate(_HALF_LIFE_SECONDS)
-        self.last: DrawResult | None = None
-        self.learnt_at = float("-inf")
-        self.ordered_at = float("-inf")
-        self.largest = 0
+        self.total_demand = DemandEstimate(_HALF_LIFE_SECONDS)
+        self.last_result: DrawResult | None = None
+        self.last_result_at = float("-inf")
+        self.last_order_at = float("-inf")
+        self.largest_request = 0
         # Tokens of requests that wait for others to be covered.
-        self.waiting = 0
+        self.waiting_tokens = 0
         # Tokens that peers said are used up by requests there, by giver.
-        self.covering_elsewhere: dict[str, int] = {}
-        self.stated: ReleaseSchedule | None = None
+        self.unreported_use_by_peer: dict[str, int] = {}
+        self.last_schedule: ReleaseSchedule | None = None
         # When a peer was given tokens last.
-        self.lent_at = float("-inf")
+        self.last_lent_at = float("-inf")
         # The least that peers were asked for in vain, and when.
-        self._scarce_tokens = 0
-        self._scarce_at = float("-inf")
-        # The least that a round of questions failed to bring, and when that round began.
+        self._shortage_tokens = 0
+        self._shortage_at = float("-inf")
+        # The least that a round of questions failed to bring, and when that round started_at.
         self._failed_tokens = 0
-        self._failed_round_began = float("-inf")
+        self._failed_round_started_at = float("-inf")
 
     @contextmanager
-    def turn(self, tokens: int) -> Iterator[None]:
+    def locked(self, tokens: int) -> Iterator[None]:
         """Hold the lock; while it is waited for, the tokens count as waiting."""
         with ExitStack() as stack:
-            self.waiting += tokens
+            self.waiting_tokens += tokens
             try:
                 stack.enter_context(self.lock)
             finally:
-                self.waiting -= tokens
+                self.waiting_tokens -= tokens
             yield
 
-    def learn(self, books: DrawResult, asked: float) -> None:
-        """Take in the books as they were when they were asked."""
-        if self.last is not None and books.limit_version == self.last.limit_version:
-            self.spending.record(max(0, books.billed - self.last.billed), asked)
-        self.last = books
-        self.learnt_at = asked
-        self.ledger.see_books(books)
+    def update(self, result: DrawResult, requested_at: float) -> None:
+        """Take in the result as they were when they were requested_at."""
+        if self.last_result is not None and result.limit_version == self.last_result.limit_version:
+            self.total_demand.record(max(0, result.billed - self.last_result.billed), requested_at)
+        self.last_result = result
+        self.last_result_at = requested_at
+        self.ledger.update_taken(result)
 
-    def part_of_demand(self, now: float) -> float:
+    def demand_share(self, now: float) -> float:
         """Return this run's part of the budget's use, an equal one at least."""
-        total = self.spending.rate(now)
+        total = self.total_demand.rate(now)
         part = self.demand.rate(now) / total if total > 0 else 0.0
-        return min(1.0, max(part, 1.0 / self.last.holders))
+        return min(1.0, max(part, 1.0 / self.last_result.holders))
 
-    def share_of_demand(self, now: float) -> float:
+    def average_holder_rate(self, now: float) -> float:
         """Return an equal share of the tokens a second that all holders use.
 
         A peer may need them though there is little demand here.
         """
-        if self.last is None or not self.last.holders:
+        if self.last_result is None or not self.last_result.holders:
             return 0.0
-        return self.spending.rate(now) / self.last.holders
+        return self.total_demand.rate(now) / self.last_result.holders
 
-    def note_scarcity(self, tokens: int, now: float) -> None:
+    def record_shortage(self, tokens: int, now: float) -> None:
         """Learn that all peers together did not have so many tokens."""
-        self._scarce_tokens, self._scarce_at = tokens, now
+        self._shortage_tokens, self._shortage_at = tokens, now
 
-    def is_scarce(self, tokens: int, now: float, seconds: float) -> bool:
+    def has_recent_shortage(self, tokens: int, now: float, seconds: float) -> bool:
         """Whether peers did not have so many tokens a moment ago."""
-        return tokens >= self._scarce_tokens and now - self._scarce_at < seconds
+        return tokens >= self._shortage_tokens and now - self._shortage_at < seconds
 
-    def note_failed_round(self, tokens: int, began: float) -> None:
+    def record_failed_round(self, tokens: int, started_at: float) -> None:
         """Learn that a round of questions did not bring so many tokens."""
-        self._failed_tokens, self._failed_round_began = tokens, began
+        self._failed_tokens, self._failed_round_started_at = tokens, started_at
 
-    def round_failed_since(self, moment: float, tokens: int) -> bool:
-        """Whether a round that began after a moment did not bring as much or less."""
-        return self._failed_round_began > moment and tokens >= self._failed_tokens
+    def has_failed_round_since(self, moment: float, tokens: int) -> bool:
+        """Whether a round that started_at after a moment did not bring as much or less."""
+        return self._failed_round_started_at > moment and tokens >= self._failed_tokens
 
     def usable(self, now: float) -> int:
         """Tokens that may cover a request, or be given to a peer, now."""
-        released = self.guard.most_used(now) - self.ledger.used
+        released = self.guard.max_used(now) - self.ledger.used
         return min(self.ledger.spendable, released)
 
-    def schedule(
+    def make_schedule(
         self, options: GrantOptions, need: int, now: float, wall: WallClockReading
     ) -> ReleaseSchedule:
         """Return what this run may use from now on: what is needed, and some ahead."""
-        rate = max(self.demand.rate(now), self.share_of_demand(now))
-        plenty = self._plenty(options, now)
-        requests = _REQUESTS_OF_PLENTY if self.lasts_for(now) > options.scarce_horizon else 1
-        ahead = max(rate * max(options.release_seconds, plenty), requests * self.largest)
+        rate = max(self.demand.rate(now), self.average_holder_rate(now))
+        plenty = self._plenty_factor(options, now)
+        requests = (
+            _REQUESTS_WHEN_PLENTIFUL if self.seconds_left(now) > options.plentiful_seconds else 1
+        )
+        ahead = max(rate * max(options.release_seconds, plenty), requests * self.largest_request)
         pace = rate * max(options.release_factor, plenty)
-        if self.last is not None and self.last.holders:
+        if self.last_result is not None and self.last_result.holders:
             # What is released and not used is lost with this run: the less is left, the
             # less may be lost.
-            share = self.last.left * self.part_of_demand(now)
+            share = self.last_result.unspent * self.demand_share(now)
             pace = min(pace, share / options.release_horizon)
-            ahead = min(ahead, share * options.release_part)
-        self.stated = ReleaseSchedule(
+            ahead = min(ahead, share * options.release_fraction)
+        self.last_schedule = ReleaseSchedule(
             base=self.ledger.used + max(need, int(ahead)),
             rate=round(max(0.0, pace), _RATE_DIGITS),
             steady=round(now, _CLOCK_DIGITS),
@@ -204,40 +206,42 @@
             wall_checked=wall.is_checked,
             delay=options.release_delay,
         )
-        return self.stated
+        return self.last_schedule
 
-    def _plenty(self, options: GrantOptions, now: float) -> float:
+    def _plenty_factor(self, options: GrantOptions, now: float) -> float:
         """Return how freely a budget that lasts for long may be released, 0 for not."""
-        seconds_left = self.lasts_for(now)
-        return min(options.release_most, seconds_left / options.plenty_seconds)
+        seconds_left = self.seconds_left(now)
+        return min(options.max_release_factor, seconds_left / options.plenty_seconds)
 
-    def lasts_for(self, now: float) -> float:
+    def seconds_left(self, now: float) -> float:
         """Return the seconds until the budget is used up, 0 as long as that isn't known."""
-        total = max(self.spending.rate(now), self.demand.rate(now))
-        if self.last is None or total <= 0:
+        total = max(self.total_demand.rate(now), self.demand.rate(now))
+        if self.last_result is None or total <= 0:
             return 0.0
-        return self.last.left / total
+        return self.last_result.unspent / total
 
-    def releases_idly(self, now: float) -> bool:
+    def is_releasing_unused(self, now: float) -> bool:
         """Whether the schedule goes on releasing what nobody uses here."""
-        if self.stated is None or self.ledger.spendable <= 0:
+        if self.last_schedule is None or self.ledger.spendable <= 0:
             return False
-        return now - self.stated.steady >= _IDLE_SECONDS
+        return now - self.last_schedule.steady >= _IDLE_SECONDS
 
-    def lends(self, now: float) -> bool:
+    def is_lending(self, now: float) -> bool:
         """Whether peers use what the schedule releases here, and report it themselves."""
-        return self.stated is not None and now - self.lent_at < _LENDER_SECONDS
+        return self.last_schedule is not None and now - self.last_lent_at < _LENDING_SECONDS
 
-    def unspent_at_most(self) -> int:
+    def unspent_bound(self) -> int:
         """Tokens that can be had from anywhere, as far as the books and the peers tell."""
-        covering = self.ledger.unreported_use + sum(self.covering_elsewhere.values())
-        return self.last.left - covering
+        covering = self.ledger.unreported_use + sum(self.unreported_use_by_peer.values())
+        return self.last_result.unspent - covering
 
     def excess(self, seconds: float, now: float) -> int:
         """Return the tokens beyond some seconds of demand, where a peer supplies the budget."""
-        kept = int(self.demand.rate(now) * seconds) + self.waiting
+        kept = int(self.demand.rate(now) * seconds) + self.waiting_tokens
         return max(0, self.ledger.spendable - kept)
 
-    def overdrawn(self) -> bool:
+    def is_overdrawn(self) -> bool:
         """Whether the limit was lowered below what all hold, and some is held here."""
-        return self.last is not None and self.last.free < 0 and self.ledger.spendable > 0
+        return (
+            self.last_result is not None and self.last_result.free < 0 and self.ledger.spendable > 0
+        )
--- a/whinrack/budgets/_grant_manager.py
+++ b/whinrack/budgets/_grant_manager.py
@@ -16,10 +16,10 @@
 from whinrack.budgets._account import DrawResult
 from whinrack.budgets._account_writer import AccountBackend
 from whinrack.budgets._budget_manager import SpareTokenSource
-from whinrack.budgets._covers import GrantCovers
+from whinrack.budgets._covers import CoverAllocator
 from whinrack.budgets._grant import Grant, GrantOptions
 from whinrack.budgets._ledger import BudgetLedger, Cover
-from whinrack.budgets._orders import BookOrders, call_here, unchecked_wall_clock
+from whinrack.budgets._orders import GrantOrders, call_directly, unchecked_wall_clock
 from whinrack.budgets._release import ReleasedRow, RunRelease
 from whinrack.budgets._schedule import RestartTime, WallClockReading
 from whinrack.clock import steady
@@ -48,7 +48,7 @@
         This run.
     account : str
         The object that holds the books.
-    books : BookSource
+    backend : BookSource
         Applies orders to the books, and gives back what earlier runs held.
     spares : SpareSource
         Asked when the books have nothing free or can't be reached.
@@ -66,17 +66,17 @@
         self,
         holder: str,
         account: str,
-        books: AccountBackend,
+        backend: AccountBackend,
         spares: SpareTokenSource,
         options: GrantOptions,
         clock: Callable[[], float] = steady,
         wall_clock: Callable[[], WallClockReading] = unchecked_wall_clock,
         make_lock: Callable[[], AbstractContextManager] = nullcontext,
-        isolate: Callable[[Callable, float | None], Result | None] = call_here,
+        isolate: Callable[[Callable, float | None], Result | None] = call_directly,
     ):
         self.holder = holder
         self.account = account
-        self.books = books
+        self.backend = backend
         self.spares = spares
         self.options = options
         self.clock = clock
@@ -84,28 +84,28 @@
         # Set once the peers are known, so that not every instance draws everything ahead.
         self.can_draw_ahead = False
         self._grants: dict[str, Grant] = {}
-        self._orders = BookOrders(
-            self._grants, books, options, clock, wall_clock, isolate, spares.is_supplier
+        self._orders = GrantOrders(
+            self._grants, backend, options, clock, wall_clock, isolate, spares.is_supplier
         )
-        self._covers = GrantCovers(self._orders, spares, options, clock)
+        self._covers = CoverAllocator(self._orders, spares, options, clock)
 
     @property
     def is_store_reachable(self) -> bool:
         """Whether the books can be reached, as far as is known."""
-        return self._orders.books_answer
+        return self._orders.is_store_reachable
 
     @property
     def last_answer_at(self) -> float:
         """When the books answered last, by the steady clock."""
-        return self._orders.answered_at
+        return self._orders.last_answer_at
 
     def set_limits(self, version: int, limits: dict[str, int]) -> None:
         """Take in the limits of a newer version of the configuration."""
-        self._orders.declare(version, limits)
+        self._orders.set_limits(version, limits)
 
     def has_limit(self, budget: str) -> bool:
         """Whether the configuration states a limit for a budget."""
-        return self._orders.limited(budget)
+        return self._orders.has_limit(budget)
 
     def cover(self, budget: str, tokens: int) -> Result[Cover, Refusal]:
         """Set tokens aside for one request: from here, from the books, from peers."""
@@ -138,7 +138,7 @@
                 return 0
             grant = self._grant(budget)
         if grant.ledger.given.get(receiver, 0) <= already_received:
-            self._covers.make_usable(grant, need + wish, draw)
+            self._covers.ensure_usable(grant, need + wish, draw)
         usable = max(0, grant.usable(self.clock()))
         return grant.ledger.give(receiver, already_received, need, wish, usable)
 
@@ -155,13 +155,13 @@
         if not self.has_limit(budget):
             return 0
         grant, now = self._grant(budget), self.clock()
-        grant.largest = max(grant.largest, need)
+        grant.largest_request = max(grant.largest_request, need)
         usable = grant.usable(now)
         before = grant.ledger.given.get(receiver, 0)
         if usable < need and before <= already_received:
             return before
         total = grant.ledger.give(receiver, already_received, need, wish, usable)
-        grant.lent_at = now
+        grant.last_lent_at = now
         # What is used elsewhere is demand here: it is drawn ahead for all.
         grant.demand.record(total - before, now)
         return total
@@ -170,9 +170,9 @@
         """Draw at once where a peer's need would not be met from here; may block."""
         grant = self._grants.get(budget)
         if grant is not None:
-            self._covers.make_usable(grant, need, draw=True)
+            self._covers.ensure_usable(grant, need, draw=True)
 
-    def open_ahead(self) -> None:
+    def draw_ahead(self) -> None:
         """Draw the budgets that this run supplies before anybody asks for them."""
         for budget in self._orders.limited_budgets():
             if self.spares.is_supplier(budget):
@@ -191,19 +191,19 @@
     def renew(self) -> Result[None, PlatformFailure]:
         """Report what was used, draw ahead and state new schedules, all in one write."""
         if self.can_draw_ahead:
-            self.open_ahead()
-        due = [grant for grant in self._grants.values() if self._orders.due(grant)]
+            self.draw_ahead()
+        due = [grant for grant in self._grants.values() if self._orders.is_due(grant)]
         if not due:
             return Success(None)
-        return self._orders.send([self._orders.order(grant) for grant in due])
+        return self._orders.send([self._orders.make_order(grant) for grant in due])
 
     def handle_store_restored(self, era: int) -> None:
         """Learn that the store came back from a copy; the next round states all grants again."""
-        self._orders.restate(era)
+        self._orders.handle_store_restored(era)
 
     def handle_store_reachable(self) -> None:
         """Learn from others' calls that the books can be reached again."""
-        self._orders.regained()
+        self._orders.handle_store_reachable()
 
     def drain(self, final: bool) -> Result[None, PlatformFailure]:
         """Give everything unused back for a planned stop.
@@ -213,7 +213,7 @@
         final : bool
             This run ends now: count open requests in full and close the rows.
         """
-        self._orders.stopping = True
+        self._orders.is_stopping = True
         orders = []
         for grant in self._grants.values():
             ledger = grant.ledger
@@ -221,7 +221,7 @@
                 continue
             if final:
                 ledger.write_off_open()
-            orders.append(self._orders.order(grant, final=final))
+            orders.append(self._orders.make_order(grant, final=final))
             # From here on nothing is used, given or drawn any more.
             ledger.is_closed = final
         return self._orders.send(orders) if orders else Success(None)
@@ -230,12 +230,12 @@
         self, restart: RestartTime
     ) -> Result[list[ReleasedRow], PlatformFailure]:
         """Give back what earlier runs of this instance held and can't have used."""
-        ended = self.books.find_earlier_runs(self.account, self.holder)
+        ended = self.backend.find_earlier_runs(self.account, self.holder)
         if isinstance(ended, Failure):
             return ended
         if not ended.unwrap():
             return Success([])
-        return self.books.release_runs(
+        return self.backend.release_runs(
             self.account, RunRelease(self.holder, restart, ended.unwrap())
         )
 
@@ -244,11 +244,11 @@
         now = self.clock()
         return " ".join(
             f"{name}:{grant.ledger.spendable}/{max(0, grant.usable(now))}"
-            f"/{grant.last.free}/{grant.last.outstanding}/{grant.last.billed}"
+            f"/{grant.last_result.free}/{grant.last_result.outstanding}/{grant.last_result.billed}"
             f"/{self._orders.limit(name)}"
-            f"@{now - grant.learnt_at:.1f}"
+            f"@{now - grant.last_result_at:.1f}"
             for name, grant in self._grants.items()
-            if grant.last is not None
+            if grant.last_result is not None
         )
 
     def spendable(self) -> dict[str, int]:
@@ -268,7 +268,7 @@
     def last_result(self, budget: str) -> DrawResult | None:
         """Return the books' state when they answered last, for logs."""
         grant = self._grants.get(budget)
-        return grant.last if grant is not None else None
+        return grant.last_result if grant is not None else None
 
     def supplier(self, budget: str) -> str:
         """Return the instance that draws a budget ahead, empty for this one; for logs."""
--- a/whinrack/budgets/_ledger.py
+++ b/whinrack/budgets/_ledger.py
@@ -70,8 +70,8 @@
         self.open_cover = 0
         self.sequence = 0
         self.is_closed = False
-        self._open_written_off = False
-        self._reported: tuple | None = None
+        self._is_open_cover_written_off = False
+        self._reported_totals: tuple | None = None
         # Of the books that an order was applied to last, and what was taken by them.
         self.era: int | None = None
         self.edition = 0
@@ -97,7 +97,7 @@
 
     def close(self, cover: int, billed: int, unproven: int) -> None:
         """End a cover; what is neither billed nor unproven can be spent again."""
-        if self._open_written_off:
+        if self._is_open_cover_written_off:
             return
         self.open_cover -= cover
         self.billed += billed
@@ -107,7 +107,7 @@
         """Count all open covers in full: their requests end with this run."""
         self.unproven += self.open_cover
         self.open_cover = 0
-        self._open_written_off = True
+        self._is_open_cover_written_off = True
 
     @property
     def used(self) -> int:
@@ -118,7 +118,7 @@
     @property
     def unreported_use(self) -> int:
         """Tokens that the books count as held here, but that requests use up."""
-        billed, unproven, *_ = self._reported or (0, 0)
+        billed, unproven, *_ = self._reported_totals or (0, 0)
         return self.open_cover + self.billed - billed + self.unproven - unproven
 
     def next_order(
@@ -144,7 +144,7 @@
             unproven=self.unproven,
             returned=self.returned,
             received=dict(self.received),
-            opening=self._reported is None,
+            opening=self._reported_totals is None,
             final=final,
             drawn=self.drawn,
             era=self.era,
@@ -156,13 +156,13 @@
         """Take in the books' state; an older state than the known one changes nothing."""
         self.drawn = max(self.drawn, result.drawn)
         if result.sequence >= order.sequence:
-            self._reported = _report(order)
+            self._reported_totals = _order_totals(order)
             self.era = result.era
-            self.see_books(result)
+            self.update_taken(result)
         if result.closed:
             self.is_closed = True
 
-    def see_books(self, result: DrawResult) -> None:
+    def update_taken(self, result: DrawResult) -> None:
         """Remember what is taken by books of the era in which this holder's row was stated."""
         if result.era == self.era:
             self.edition, self.taken = result.edition, result.taken
@@ -171,7 +171,7 @@
     def has_unreported_totals(self) -> bool:
         """Whether the books don't know the latest numbers yet."""
         now = (self.billed, self.unproven, self.returned, dict(self.received))
-        return now != (self._reported or (0, 0, 0, {}))
+        return now != (self._reported_totals or (0, 0, 0, {}))
 
     def give(
         self,
@@ -202,12 +202,12 @@
         if total > self.received.get(giver, 0):
             self.received[giver] = total
 
-    def give_back(self, tokens: int) -> int:
+    def return_tokens(self, tokens: int) -> int:
         """Mark spendable tokens as returned; the next order reports them."""
         tokens = max(0, min(tokens, self.spendable))
         self.returned += tokens
         return tokens
 
 
-def _report(order: DrawOrder) -> tuple:
+def _order_totals(order: DrawOrder) -> tuple:
     return (order.billed, order.unproven, order.returned, dict(order.received))
--- a/whinrack/budgets/_peer_tokens.py
+++ b/whinrack/budgets/_peer_tokens.py
@@ -5,10 +5,10 @@
 from whinrack.budgets._budget_manager import SpareTokenSource
 from whinrack.budgets._grant import Grant, GrantOptions
 
-__all__ = ["PeerTokens"]
+__all__ = ["PeerTokenClient"]
 
 
-class PeerTokens:
+class PeerTokenClient:
     """Asks peers for tokens and takes in what they give.
 
     Parameters
@@ -24,37 +24,37 @@
         self.options = options
         self.clock = clock
 
-    def ask_supplier(self, grant: Grant, tokens: int) -> None:
+    def request_from_supplier(self, grant: Grant, tokens: int) -> None:
         """Ask the peer that draws this budget ahead for what is needed, and a little more."""
-        wish = self._demand_of(grant, self.options.supply_seconds) + grant.waiting
+        wish = self._demand_tokens(grant, self.options.supply_seconds) + grant.waiting_tokens
         budget, received = grant.ledger.budget, dict(grant.ledger.received)
-        need = self._missing(grant, tokens)
+        need = self._missing_tokens(grant, tokens)
         for spare in self.spares.request_from_supplier(budget, need, wish, received):
             grant.ledger.receive(spare.giver, spare.total)
-            grant.covering_elsewhere[spare.giver] = spare.unreported_use
+            grant.unreported_use_by_peer[spare.giver] = spare.unreported_use
 
-    def gather(self, grant: Grant, tokens: int) -> None:
+    def request_from_peers(self, grant: Grant, tokens: int) -> None:
         """Ask all peers for what they hold and may use."""
         all_replied = False
-        for everything in (False, True):
-            need = self._missing(grant, tokens)
+        for ask_for_all in (False, True):
+            need = self._missing_tokens(grant, tokens)
             if need <= 0:
                 return
-            all_replied = self._gather_round(grant, need, everything)
-        if all_replied and self._missing(grant, tokens) > 0:
-            grant.note_scarcity(tokens, self.clock())
+            all_replied = self._request_round(grant, need, ask_for_all)
+        if all_replied and self._missing_tokens(grant, tokens) > 0:
+            grant.record_shortage(tokens, self.clock())
 
-    def borrow(self, grant: Grant, tokens: int) -> None:
+    def request_peer_draw(self, grant: Grant, tokens: int) -> None:
         """Ask a peer that reaches the books to draw from them for this instance."""
-        ahead = self._demand_of(grant, self.options.loan_seconds)
-        wish = max(ahead, grant.largest) + grant.waiting
+        ahead = self._demand_tokens(grant, self.options.peer_draw_seconds)
+        wish = max(ahead, grant.largest_request) + grant.waiting_tokens
         budget, received = grant.ledger.budget, dict(grant.ledger.received)
         for spare in self.spares.request_peer_draw(
-            budget, self._missing(grant, tokens), wish, received
+            budget, self._missing_tokens(grant, tokens), wish, received
         ):
             grant.ledger.receive(spare.giver, spare.total)
 
-    def _gather_round(self, grant: Grant, need: int, everything: bool) -> bool:
+    def _request_round(self, grant: Grant, need: int, ask_for_all: bool) -> bool:
         """Ask each peer for a part that suffices if most have it, or for all of it.
 
         Returns
@@ -63,16 +63,16 @@
             Whether all replied.
         """
         asked = self.spares.peer_count()
-        part = need if everything else -(-2 * need // max(1, asked))
+        part = need if ask_for_all else -(-2 * need // max(1, asked))
         budget, received = grant.ledger.budget, dict(grant.ledger.received)
         replies = list(self.spares.request_from_peers(budget, min(need, part), 0, received))
         for spare in replies:
             grant.ledger.receive(spare.giver, spare.total)
-            grant.covering_elsewhere[spare.giver] = spare.unreported_use
+            grant.unreported_use_by_peer[spare.giver] = spare.unreported_use
         return len(replies) >= asked
 
-    def _missing(self, grant: Grant, tokens: int) -> int:
+    def _missing_tokens(self, grant: Grant, tokens: int) -> int:
         return tokens - max(0, grant.usable(self.clock()))
 
-    def _demand_of(self, grant: Grant, seconds: float) -> int:
+    def _demand_tokens(self, grant: Grant, seconds: float) -> int:
         return int(grant.demand.rate(self.clock()) * seconds)
--- a/whinrack/budgets/_release.py
+++ b/whinrack/budgets/_release.py
@@ -127,7 +127,7 @@
     used, seconds = max(0, row.outstanding), 0.0
     if row.schedule is not None and name not in entry.unstated:
         seconds = restart.seconds_since(row.schedule)
-        most = row.schedule.most_used(seconds) + sum(row.received.values())
+        most = row.schedule.max_used(seconds) + sum(row.received.values())
         used = max(0, min(used, most - accounted))
     entry.unstated.discard(name)
     freed = _close_row(row, used)
--- a/whinrack/budgets/_schedule.py
+++ b/whinrack/budgets/_schedule.py
@@ -62,7 +62,7 @@
     wall_checked: bool = False
     delay: float = 0.0
 
-    def most_used(self, seconds: float) -> int:
+    def max_used(self, seconds: float) -> int:
         """Return the most that is used some seconds after the schedule was made."""
         return self.base + math.ceil(self.rate * max(0.0, seconds - self.delay))
 
@@ -85,9 +85,9 @@
     wall_margin: float
     wall_checked: bool = False
 
-    def most_used(self, schedule: ReleaseSchedule) -> int:
+    def max_used(self, schedule: ReleaseSchedule) -> int:
         """Return the most that an earlier run can have used of its grant."""
-        return schedule.most_used(self.seconds_since(schedule))
+        return schedule.max_used(self.seconds_since(schedule))
 
     def seconds_since(self, schedule: ReleaseSchedule) -> float:
         """Return the longest time that an earlier run can have used its schedule for."""
@@ -112,16 +112,16 @@
     def __init__(self):
         self._schedules: dict[int, ReleaseSchedule] = {}
 
-    def stated(self, sequence: int, schedule: ReleaseSchedule) -> None:
+    def record_sent(self, sequence: int, schedule: ReleaseSchedule) -> None:
         """Remember the schedule of an order before it is sent."""
         self._schedules[sequence] = schedule
 
-    def applied(self, sequence: int) -> None:
+    def record_applied(self, sequence: int) -> None:
         """Learn that an order is in the books: older ones can't be applied any more."""
         for older in [key for key in self._schedules if key < sequence]:
             del self._schedules[older]
 
-    def most_used(self, steady: float) -> int:
+    def max_used(self, steady: float) -> int:
         """Return the most that may be used now; 0 before any schedule was stated."""
-        limits = [s.most_used(steady - s.steady) for s in self._schedules.values()]
+        limits = [s.max_used(steady - s.steady) for s in self._schedules.values()]
         return min(limits, default=0)
--- a/whinrack/budgets/_store_restore.py
+++ b/whinrack/budgets/_store_restore.py
@@ -9,21 +9,21 @@
 from whinrack.budgets._account import BudgetAccount, BudgetEntry, DrawOrder
 
 __all__ = [
-    "are_of_earlier_era",
+    "is_account_of_earlier_era",
     "end_hold",
     "is_later",
-    "is_of_earlier_era",
-    "learn_taken",
-    "restored",
+    "is_order_of_earlier_era",
+    "update_known_taken",
+    "restore_account",
 ]
 
 
-def are_of_earlier_era(account: BudgetAccount, era: int) -> bool:
+def is_account_of_earlier_era(account: BudgetAccount, era: int) -> bool:
     """Whether books were written last before the store came back in its present era."""
     return account.era is not None and account.era < era
 
 
-def restored(
+def restore_account(
     account: BudgetAccount | None, latest: BudgetAccount | None, era: int
 ) -> BudgetAccount:
     """Return books to go on with in a later era.
@@ -39,31 +39,31 @@
     """
     if latest is not None and (account is None or not is_later(account, latest)):
         # Books of one era are written one after the other, so the later ones hold all of the copy.
-        books = msgspec.convert(msgspec.to_builtins(latest), BudgetAccount)
+        restored = msgspec.convert(msgspec.to_builtins(latest), BudgetAccount)
     elif account is None:
-        books = BudgetAccount()
+        restored = BudgetAccount()
     else:
-        books = account
-        for entry in books.budgets.values():
+        restored = account
+        for entry in restored.budgets.values():
             entry.unstated = _open_holders(entry)
-    books.era = era
-    books.is_held = True
-    for entry in books.budgets.values():
+    restored.era = era
+    restored.is_held = True
+    for entry in restored.budgets.values():
         entry.stated = set()
-        entry.known_edition, entry.known_taken = books.edition, entry.taken
-    return books
+        entry.known_edition, entry.known_taken = restored.edition, entry.taken
+    return restored
 
 
-def is_of_earlier_era(account: BudgetAccount, order: DrawOrder) -> bool:
+def is_order_of_earlier_era(account: BudgetAccount, order: DrawOrder) -> bool:
     """Whether the holder's row may be among what the store lost."""
     return None not in (order.era, account.era) and order.era < account.era
 
 
-def learn_taken(account: BudgetAccount, entry: BudgetEntry, order: DrawOrder) -> None:
+def update_known_taken(account: BudgetAccount, entry: BudgetEntry, order: DrawOrder) -> None:
     """Take in what a holder knows of an earlier era; the latest word on it counts."""
     if (
         account.is_held
-        and is_of_earlier_era(account, order)
+        and is_order_of_earlier_era(account, order)
         and order.edition > entry.known_edition
     ):
         entry.known_edition, entry.known_taken = order.edition, order.taken
@@ -80,9 +80,9 @@
         entry.stated = set()
 
 
-def is_later(account: BudgetAccount, other: BudgetAccount) -> bool:
+def is_later(account: BudgetAccount, reference: BudgetAccount) -> bool:
     """Whether books were written after others of the same account."""
-    return (account.era or 0, account.edition) > (other.era or 0, other.edition)
+    return (account.era or 0, account.edition) > (reference.era or 0, reference.edition)
 
 
 def _open_holders(entry: BudgetEntry) -> set[str]:
--- a/whinrack/budgets/tests/test_budget_manager.py
+++ b/whinrack/budgets/tests/test_budget_manager.py
@@ -45,10 +45,10 @@
             self.add(holder)
 
     def add(self, holder):
-        drawer = AccountWriter(self.store, nullcontext, sleep=self.sleep, seed=1)
+        writer = AccountWriter(self.store, nullcontext, sleep=self.sleep, seed=1)
         self.managers[holder] = BudgetManager(
             holder,
-            _Source(self, holder, drawer),
+            _Source(self, holder, writer),
             _Spares(self, holder),
             report_after=0.0,
             horizon=self.horizon,
@@ -70,17 +70,17 @@
         return account.budgets["b"]
 
     def ledgers(self):
-        return [ledger for keeper in self.managers.values() for ledger in keeper.ledgers()]
+        return [ledger for manager in self.managers.values() for ledger in manager.ledgers()]
 
 
 class _Source(TokenSource):
-    def __init__(self, fleet, holder, drawer):
-        self.fleet, self.holder, self.drawer = fleet, holder, drawer
+    def __init__(self, fleet, holder, writer):
+        self.fleet, self.holder, self.writer = fleet, holder, writer
 
     def draw(self, order):
         if self.holder in self.fleet.cut:
             return Failure(PeerUnavailable("cut"))
-        return self.drawer.draw(order)
+        return self.writer.draw(order)
 
 
 class _Spares(SpareTokenSource):
@@ -88,10 +88,10 @@
         self.fleet, self.holder = fleet, holder
 
     def request_from_peers(self, budget, need, wish, received):
-        for name, keeper in self.fleet.managers.items():
+        for name, manager in self.fleet.managers.items():
             if name == self.holder or {name, self.holder} & self.fleet.cut:
                 continue
-            total = keeper.give(budget, self.holder, received.get(name, 0), need, wish)
+            total = manager.give(budget, self.holder, received.get(name, 0), need, wish)
             if self.fleet.lose_spare_replies > 0:
                 self.fleet.lose_spare_replies -= 1
                 continue
@@ -103,7 +103,7 @@
     assert cover.settle(used)
 
 
-class BooksMachine(RuleBasedStateMachine):
+class BudgetMachine(RuleBasedStateMachine):
     """Random requests, reports, cuts, kills, outages and lost replies.
 
     `served` counts the tokens that targets generated, apart from all books.
@@ -121,10 +121,10 @@
 
     @rule(who=st.sampled_from(HOLDERS), tokens=st.integers(1, 120))
     def request(self, who, tokens):
-        keeper = self._alive(who)
-        result = self.fleet.cover(keeper, tokens)
+        manager = self._alive(who)
+        result = self.fleet.cover(manager, tokens)
         if isinstance(result, Success):
-            self.open.append((keeper, result.unwrap()))
+            self.open.append((manager, result.unwrap()))
 
     @rule(data=st.data())
     def finish(self, data):
@@ -213,22 +213,22 @@
         return next(name for name in self.fleet.managers if name[0] == who[0])
 
 
-BooksMachine.TestCase.settings = settings(
+BudgetMachine.TestCase.settings = settings(
     max_examples=150, stateful_step_count=40, deadline=None, derandomize=True
 )
-TestBooks = BooksMachine.TestCase
+TestBudget = BudgetMachine.TestCase
 
 
-def test_books_balance_to_the_token_after_planned_stops():
+def test_account_balances_exactly_after_planned_stops():
     fleet = Fleet(("x.1", "y.1"), 1000)
     for holder, used in (("x.1", 30), ("y.1", 45), ("x.1", 7)):
         settle(fleet, fleet.cover(holder, 100).unwrap(), used)
-    assert all(keeper.drain() for keeper in fleet.managers.values())
+    assert all(manager.drain() for manager in fleet.managers.values())
     entry = fleet.entry()
     assert (entry.billed, entry.free, entry.outstanding, entry.rows) == (82, 918, 0, {})
 
 
-def test_tail_is_gathered_from_peers_before_anyone_is_refused():
+def test_last_tokens_are_requested_from_peers_before_a_refusal():
     fleet = Fleet(("x.1", "y.1", "z.1"), 300)
     covers = [fleet.cover(holder, 100).unwrap() for holder in fleet.managers]
     for cover in covers:
@@ -236,7 +236,7 @@
     assert isinstance(fleet.cover("x.1", 250), Success)
 
 
-def test_a_report_that_finds_nothing_free_does_not_stop_gathering():
+def test_report_with_nothing_free_does_not_stop_requests_to_peers():
     """Found by the demo: a report marked the budget as dry and the peers weren't asked."""
     fleet = Fleet(("x.1", "y.1"), 300, horizon=600.0)
     settle(fleet, fleet.cover("x.1", 150).unwrap(), 10)
@@ -245,7 +245,7 @@
     assert isinstance(fleet.cover("x.1", 200), Success)
 
 
-def test_exhausted_and_contended_are_told_apart():
+def test_exhausted_and_contended_budgets_are_distinguished():
     fleet = Fleet(("x.1", "y.1"), 300)
     fleet.cover("y.1", 250).unwrap()
     contended = fleet.cover("x.1", 100).failure()
@@ -271,7 +271,7 @@
     assert served == 30
 
 
-def test_an_order_counts_once_by_whatever_way_it_arrives():
+def test_repeated_order_is_applied_once():
     account = apply_topups(None, "b", {"1": 1000})
     order = DrawOrder(account="a", budget="b", holder="x.1", sequence=1, need=100, opening=True)
     assert apply_draws(account, [order, order]) is not None
@@ -279,7 +279,7 @@
     assert account.budgets["b"].rows["x.1"].drawn == 100
 
 
-def test_a_late_copy_of_an_order_of_a_stopped_holder_draws_nothing():
+def test_late_copy_of_an_order_of_a_stopped_holder_draws_nothing():
     fleet = Fleet(("x.1",), 1000)
     ledger_order = DrawOrder(account="a", budget="b", holder="x.1", sequence=2, need=100)
     settle(fleet, fleet.cover("x.1", 100).unwrap(), 60)
@@ -288,7 +288,7 @@
     assert fleet.entry().free == 940
 
 
-def test_a_topup_that_is_repeated_after_a_lost_reply_counts_once():
+def test_topup_repeated_after_a_lost_reply_counts_once():
     fleet = Fleet((), 100)
     fleet.store.lose_replies = 1
     change = lambda account: apply_topups(account, "b", {"2": 50})  # noqa: E731
@@ -298,7 +298,7 @@
 
 
 @pytest.mark.parametrize(("served", "free", "unproven"), [(None, 0, 1000), (300, 700, 300)])
-def test_release_gives_back_only_what_the_operator_says(served, free, unproven):
+def test_release_frees_only_what_the_operator_declares_unspent(served, free, unproven):
     account = apply_topups(None, "b", {"1": 1000})
     order = DrawOrder(account="a", budget="b", holder="x.1", sequence=1, need=1000, opening=True)
     apply_draws(account, [order])
@@ -307,7 +307,7 @@
     assert (entry.free, entry.unproven, entry.outstanding) == (free, unproven, 0)
 
 
-def test_a_released_holder_that_lives_may_cover_nothing_more():
+def test_released_holder_that_still_runs_covers_no_more_requests():
     fleet = Fleet(("x.1",), 1000)
     settle(fleet, fleet.cover("x.1", 100).unwrap(), 60)
     fleet.editor.apply("a", lambda account: release_holder(account, "b", "x.1", None))
@@ -315,7 +315,7 @@
     assert isinstance(fleet.cover("x.1", 10), Failure)
 
 
-def test_tokens_given_to_a_peer_are_not_taken_for_spent():
+def test_tokens_given_to_a_peer_do_not_count_as_spent():
     """Found by reading a golden session: the giver called the budget exhausted."""
     fleet = Fleet(("x.1", "y.1"), 1000, horizon=600.0)
     settle(fleet, fleet.cover("x.1", 700).unwrap(), 10)
@@ -326,8 +326,8 @@
 
 def test_holders_report_soon_after_a_peer_ran_out():
     fleet = Fleet(("x.1", "y.1"), 1000, horizon=0.0)
-    for keeper in fleet.managers.values():
-        keeper.report_after = 1000.0
+    for manager in fleet.managers.values():
+        manager.report_after = 1000.0
     settle(fleet, fleet.cover("y.1", 900).unwrap(), 900)
     assert isinstance(fleet.cover("x.1", 500).failure(), BudgetContended)
     fleet.managers["y.1"].report()
@@ -335,17 +335,17 @@
     assert isinstance(fleet.cover("x.1", 500).failure(), BudgetExhausted)
 
 
-def test_a_request_beyond_the_whole_budget_draws_nothing():
+def test_request_larger_than_the_budget_draws_nothing():
     """Found by a test of refusals: one absurd request moved the whole budget to its instance."""
     fleet = Fleet(("x.1", "y.1"), 1000, horizon=0.0)
     assert isinstance(fleet.cover("x.1", 5000).failure(), BudgetExhausted)
     assert fleet.entry().free == 1000
 
 
-def test_one_gathering_lasts_for_some_requests():
+def test_one_transfer_from_a_peer_lasts_for_several_requests():
     fleet = Fleet(("x.1", "y.1"), 1000, horizon=600.0)
     settle(fleet, fleet.cover("x.1", 900).unwrap(), 10)
-    fleet.managers["x.1"].stopping = True
+    fleet.managers["x.1"].is_stopping = True
     asked = []
     give = fleet.managers["x.1"].give
     fleet.managers["x.1"].give = lambda *numbers: asked.append(1) or give(*numbers)
--- a/whinrack/budgets/tests/test_grants.py
+++ b/whinrack/budgets/tests/test_grants.py
@@ -83,18 +83,18 @@
         self.released = False
         self.covers = []
         store = LinkedStore(self.fleet.store, self)
-        drawer = AccountWriter(store, _Lock, clock=self.steady, sleep=lambda seconds: None, seed=1)
-        self.keeper = GrantManager(
+        writer = AccountWriter(store, _Lock, clock=self.steady, sleep=lambda seconds: None, seed=1)
+        self.manager = GrantManager(
             f"{self.name}.{self.runs}",
             "a",
-            drawer,
+            writer,
             Peers(self.fleet, self),
             GrantOptions(),
             clock=self.steady,
             wall_clock=self.wall_clock,
             make_lock=_Lock,
         )
-        self.keeper.set_limits(1, {BUDGET: self.fleet.limit})
+        self.manager.set_limits(1, {BUDGET: self.fleet.limit})
 
     def release(self):
         if not self.released:
@@ -102,15 +102,15 @@
             jumped = (now.seconds - self.restart.wall) - (self.steady() - self.restart.steady)
             checked = now.is_checked and abs(jumped) < 0.25
             restart = msgspec.structs.replace(self.restart, wall_checked=checked)
-            self.released = isinstance(self.keeper.release_earlier_runs(restart), Success)
+            self.released = isinstance(self.manager.release_earlier_runs(restart), Success)
 
-    def die(self):
+    def crash(self):
         """Open requests may have been answered to their end."""
         self.fleet.used += sum(cover.tokens for cover in self.covers)
         self.start()
 
     def request(self, tokens):
-        cover = self.keeper.cover(BUDGET, tokens)
+        cover = self.manager.cover(BUDGET, tokens)
         if isinstance(cover, Success):
             self.covers.append(cover.unwrap())
         return cover
@@ -139,7 +139,7 @@
         return self._ask(self.others(), need, wish, received, draw=False)
 
     def request_peer_draw(self, budget, need, wish, received):
-        reach = [other for other in self.others() if other.keeper.is_store_reachable]
+        reach = [other for other in self.others() if other.manager.is_store_reachable]
         return self._ask(reach[:1], need, wish, received, draw=True)
 
     def is_supplier(self, budget):
@@ -147,11 +147,11 @@
 
     def request_from_supplier(self, budget, need, wish, received):
         supplier = self.machine.supplier
-        giver = supplier.keeper.holder
-        total = supplier.keeper.give_as_supplier(
-            BUDGET, self.machine.keeper.holder, received.get(giver, 0), need, wish
+        giver = supplier.manager.holder
+        total = supplier.manager.give_as_supplier(
+            BUDGET, self.machine.manager.holder, received.get(giver, 0), need, wish
         )
-        supplier.keeper.draw_for_peer(BUDGET, need)
+        supplier.manager.draw_for_peer(BUDGET, need)
         if self.fleet.lose_peer_replies > 0:
             self.fleet.lose_peer_replies -= 1
         else:
@@ -159,14 +159,14 @@
 
     def _ask(self, others, need, wish, received, draw):
         for other in others:
-            giver = other.keeper.holder
-            total = other.keeper.give(
-                BUDGET, self.machine.keeper.holder, received.get(giver, 0), need, wish, draw
+            giver = other.manager.holder
+            total = other.manager.give(
+                BUDGET, self.machine.manager.holder, received.get(giver, 0), need, wish, draw
             )
             if self.fleet.lose_peer_replies > 0:
                 self.fleet.lose_peer_replies -= 1
             else:
-                yield TransferTotal(giver, total, other.keeper.unreported_use(BUDGET))
+                yield TransferTotal(giver, total, other.manager.unreported_use(BUDGET))
 
 
 class _Lock:
@@ -190,11 +190,11 @@
         for index in range(machines):
             self.machines.append(Machine(self, f"m{index}"))
 
-    def books(self):
+    def entry(self):
         editor = ObjectEditor(self.store, ACCOUNT_KIND, BudgetAccount)
         return editor.read("a").unwrap().budgets[BUDGET]
 
-    def spent_at_most(self):
+    def max_spent(self):
         open_covers = sum(cover.tokens for m in self.machines for cover in m.covers)
         return self.used + open_covers
 
@@ -227,7 +227,7 @@
         self.machine(index).cut_off = True
         self.fleet.now += seconds
         self.use_all_that_can_be_had(index, 37)
-        self.machine(index).die()
+        self.machine(index).crash()
         self.machine(index).cut_off = False
 
     @rule(index=st.integers(0, 2), part=st.floats(0.0, 1.0))
@@ -243,7 +243,7 @@
     @rule(index=st.integers(0, 2))
     def renew(self, index):
         self.machine(index).release()
-        self.machine(index).keeper.renew()
+        self.machine(index).manager.renew()
 
     @rule(seconds=st.sampled_from([0.05, 0.5, 2.0, 9.0]))
     def pass_time(self, seconds):
@@ -259,17 +259,17 @@
 
     @rule(index=st.integers(0, 2))
     def kill(self, index):
-        self.machine(index).die()
+        self.machine(index).crash()
 
     @rule()
     def kill_all(self):
         for machine in self.fleet.machines:
-            machine.die()
+            machine.crash()
 
     @rule(index=st.integers(0, 2), steady=st.floats(-1e4, 1e6))
     def lose_power(self, index, steady):
         self.machine(index).steady_offset = steady
-        self.machine(index).die()
+        self.machine(index).crash()
 
     @rule(index=st.integers(0, 2), jump=st.sampled_from([-3.0, -1.5, 0.0, 1.5]))
     def jump_of_the_time_of_day(self, index, jump):
@@ -281,9 +281,9 @@
     @rule(index=st.integers(0, 2))
     def planned_stop(self, index):
         machine = self.machine(index)
-        machine.keeper.drain(False)
-        machine.keeper.drain(True)
-        machine.die()
+        machine.manager.drain(False)
+        machine.manager.drain(True)
+        machine.crash()
 
     @rule(replies=st.integers(1, 3))
     def lose_store_replies(self, replies):
@@ -316,18 +316,18 @@
         self.fleet.limit += more
         version = self.fleet.limit
         for machine in self.fleet.machines:
-            machine.keeper.set_limits(version, {BUDGET: self.fleet.limit})
+            machine.manager.set_limits(version, {BUDGET: self.fleet.limit})
 
     @invariant()
     def never_beyond_the_limit(self):
-        assert self.fleet.spent_at_most() <= self.fleet.limit
+        assert self.fleet.max_spent() <= self.fleet.limit
 
     def teardown(self):
         """Heal everything and use what is left: what was used before must not come back."""
         self.fleet.store.apply_held()
         for machine in self.fleet.machines:
             machine.cut_off = False
-        use_all(self.fleet)
+        use_all_tokens(self.fleet)
         self.never_beyond_the_limit()
 
 
@@ -341,11 +341,11 @@
     """Three machines that each use 300 tokens a second of one budget."""
     fleet = Fleet(3, limit)
     for _ in range(seconds):
-        work(fleet)
+        run_second(fleet)
     return fleet
 
 
-def work(fleet):
+def run_second(fleet):
     served = 0
     for machine in fleet.machines:
         for _ in range(3):
@@ -353,41 +353,41 @@
             while machine.covers:
                 machine.settle(1.0)
         machine.release()
-        machine.keeper.renew()
+        machine.manager.renew()
     fleet.now += 1.0
     return served
 
 
-def test_an_outage_of_nine_seconds_refuses_nothing():
+def test_outage_of_nine_seconds_refuses_nothing():
     fleet = busy_fleet()
     for machine in fleet.machines:
         machine.cut_off = True
-    assert sum(work(fleet) for _ in range(9)) == 9 * 9
+    assert sum(run_second(fleet) for _ in range(9)) == 9 * 9
 
 
 def seldom_used_fleet(limit, seed):
     """A supplier and two machines that send a large request every two seconds by chance."""
-    fleet, chance = Fleet(3, limit), random.Random(seed)
+    fleet, rng = Fleet(3, limit), random.Random(seed)
     for machine in fleet.machines:
         machine.supplier = fleet.machines[0]
 
     def second():
         served = asked = 0
         for machine in fleet.machines:
-            if chance.random() < 1 / 6:
+            if rng.random() < 1 / 6:
                 asked += 1
-                served += isinstance(machine.request(chance.randint(2_000, 16_000)), Success)
+                served += isinstance(machine.request(rng.randint(2_000, 16_000)), Success)
             while machine.covers:
                 machine.settle(1.0)
             machine.release()
-            machine.keeper.renew()
+            machine.manager.renew()
         fleet.now += 1.0
         return served, asked
 
     return fleet, second
 
 
-def test_an_outage_refuses_little_of_a_budget_that_is_seldom_used():
+def test_outage_refuses_little_of_a_seldom_used_budget():
     """Four requests are expected in it, and twice as many may come."""
     served = asked = 0
     for seed in range(30):
@@ -402,11 +402,11 @@
     assert served >= 0.95 * asked
 
 
-def test_a_machine_cut_off_alone_is_served_by_way_of_its_peers():
+def test_machine_without_the_store_draws_through_its_peers():
     fleet = busy_fleet()
     lonely = fleet.machines[0]
     lonely.cut_off = True
-    lonely.keeper.renew()
+    lonely.manager.renew()
     served = 0
     for _ in range(40):
         fleet.now += 1.0
@@ -415,7 +415,7 @@
             while lonely.covers:
                 lonely.settle(1.0)
         for machine in fleet.machines[1:]:
-            machine.keeper.renew()
+            machine.manager.renew()
     assert served == 240
 
 
@@ -423,21 +423,21 @@
     ("power", "agreed", "margin"),
     [(False, True, 0.0), (True, False, WALL_MARGIN), (True, True, 0.5)],
 )
-def test_what_dies_with_all_machines_comes_back_but_for_some_seconds(power, agreed, margin):
+def test_crash_of_all_machines_loses_only_seconds_of_demand(power, agreed, margin):
     fleet = Fleet(3, 100_000)
     if not agreed:
         for index, machine in enumerate(fleet.machines):
             machine.wall_offset = 0.3 * index
     for _ in range(20):
-        work(fleet)
-    held = sum(machine.keeper.spendable()[BUDGET] for machine in fleet.machines)
+        run_second(fleet)
+    held = sum(machine.manager.spendable()[BUDGET] for machine in fleet.machines)
     fleet.now += 1.3
     for index, machine in enumerate(fleet.machines):
         if power:
             machine.steady_offset = 1e5 * index
-        machine.die()
+        machine.crash()
         machine.release()
-    lost = fleet.limit - fleet.books().free - fleet.used
+    lost = fleet.limit - fleet.entry().free - fleet.used
     seconds = 1.3 + margin
     demand = 900
     options = GrantOptions()
@@ -447,17 +447,17 @@
     assert lost < held
 
 
-def test_little_is_lost_of_a_budget_that_runs_out():
+def test_crash_loses_little_of_a_nearly_used_budget():
     fleet = busy_fleet(limit=23_000)
     left = fleet.limit - fleet.used
     fleet.now += 1.3
     for machine in fleet.machines:
-        machine.die()
+        machine.crash()
         machine.release()
-    assert fleet.books().free > 0.6 * left
+    assert fleet.entry().free > 0.6 * left
 
 
-def test_demand_at_one_machine_is_served_through_an_outage_from_what_all_hold():
+def test_demand_at_one_machine_is_served_in_an_outage_from_all_grants():
     fleet = Fleet(6, 1_000_000)
     busy, *others = fleet.machines
 
@@ -471,7 +471,7 @@
             if isinstance(machine.request(100), Success):
                 machine.settle(1.0)
         for machine in fleet.machines:
-            machine.keeper.renew()
+            machine.manager.renew()
         fleet.now += 1.0
         return served
 
@@ -482,20 +482,20 @@
     assert sum(second() for _ in range(9)) == 90
 
 
-def test_a_machine_that_was_idle_before_it_died_loses_little():
+def test_machine_idle_before_a_crash_loses_little():
     fleet = busy_fleet()
     for _ in range(10):
         fleet.now += 1.0
         for machine in fleet.machines:
-            machine.keeper.renew()
+            machine.manager.renew()
     fleet.now += 1.3
     for machine in fleet.machines:
-        machine.die()
+        machine.crash()
         machine.release()
-    assert fleet.limit - fleet.books().free - fleet.used <= 0.4 * 9 * 900
+    assert fleet.limit - fleet.entry().free - fleet.used <= 0.4 * 9 * 900
 
 
-def test_refused_requests_that_come_again_do_not_count_as_demand():
+def test_retried_refused_requests_do_not_count_as_demand():
     fleet = Fleet(2, 10_000)
     asker = fleet.machines[0]
     for _ in range(50):
@@ -503,26 +503,26 @@
         fleet.now += 0.1
     asker.request(100)
     fleet.now += 1.0
-    asker.keeper.renew()
+    asker.manager.renew()
     fleet.now += 2.0
-    asker.die()
+    asker.crash()
     asker.release()
-    assert fleet.books().unproven <= 1000
+    assert fleet.entry().unproven <= 1000
 
 
-def test_a_quiet_keeper_does_not_take_itself_for_cut_off():
+def test_idle_manager_still_considers_the_store_reachable():
     fleet = busy_fleet()
     fleet.now += 60.0
     assert isinstance(fleet.machines[0].request(9000), Success)
 
 
-def test_a_stopping_machine_still_draws_for_the_requests_that_it_takes():
+def test_stopping_machine_still_draws_for_its_requests():
     fleet = busy_fleet()
-    fleet.machines[0].keeper.drain(False)
+    fleet.machines[0].manager.drain(False)
     assert isinstance(fleet.machines[0].request(500), Success)
 
 
-def test_exhausted_and_contended_are_told_apart():
+def test_exhausted_and_contended_budgets_are_distinguished():
     fleet = Fleet(2, 1000)
     assert isinstance(fleet.machines[0].request(900), Success)
     fleet.lose_peer_replies = 10
@@ -531,7 +531,7 @@
     assert isinstance(fleet.machines[1].request(200).failure(), BudgetExhausted)
     while fleet.machines[0].covers:
         fleet.machines[0].settle(1.0)
-    fleet.machines[0].keeper.renew()
+    fleet.machines[0].manager.renew()
     fleet.now += 5.0
     assert isinstance(fleet.machines[1].request(200).failure(), BudgetExhausted)
 
@@ -543,68 +543,68 @@
     assert isinstance(fleet.machines[1].request(50), Success)
     for machine in fleet.machines:
         machine.cut_off = True
-        machine.keeper.renew()
+        machine.manager.renew()
     return fleet
 
 
-def test_what_was_left_before_an_outage_bounds_what_can_be_had_in_it():
+def test_budget_exhausted_before_an_outage_stays_exhausted_in_it():
     """A caller of an exhausted budget isn't told to come again, however long the outage."""
     fleet = nearly_used_fleet_cut_off()
     fleet.now += 9.0
     assert isinstance(fleet.machines[1].request(200).failure(), BudgetExhausted)
 
 
-def test_a_raised_limit_that_the_books_do_not_know_yet_is_no_exhausted_budget():
+def test_raised_limit_not_yet_stored_is_not_reported_as_exhausted():
     fleet = nearly_used_fleet_cut_off()
-    fleet.machines[1].keeper.set_limits(2, {BUDGET: 5000})
+    fleet.machines[1].manager.set_limits(2, {BUDGET: 5000})
     assert isinstance(fleet.machines[1].request(200).failure(), BudgetContended)
 
 
-def test_what_runs_elsewhere_can_not_be_spent_again():
-    """The books still count the tokens of open requests as held."""
+def test_tokens_of_open_requests_at_peers_can_not_be_spent():
+    """The entry still count the tokens of open requests as held."""
     fleet = Fleet(2, 1000)
     fleet.machines[0].request(900)
-    fleet.machines[1].keeper.renew()
-    assert fleet.books().outstanding >= 900
+    fleet.machines[1].manager.renew()
+    assert fleet.entry().outstanding >= 900
     assert isinstance(fleet.machines[1].request(200).failure(), BudgetExhausted)
 
 
-def test_what_a_silent_peer_holds_may_come_back():
+def test_tokens_of_a_silent_peer_count_as_contended():
     fleet = Fleet(2, 1000)
     fleet.machines[0].request(900)
-    fleet.machines[1].keeper.renew()
+    fleet.machines[1].manager.renew()
     fleet.lose_peer_replies = 10
     assert isinstance(fleet.machines[1].request(200).failure(), BudgetContended)
 
 
-def test_tokens_whose_reply_was_lost_are_counted_when_the_giver_tells_them_again():
+def test_tokens_of_a_lost_reply_count_when_the_giver_repeats_its_total():
     fleet = Fleet(2, 1000)
     giver, asker = fleet.machines
     giver.request(800)
     giver.settle(0.0)
     fleet.lose_peer_replies = 10
     asker.request(700)
-    (given,) = [total for total in giver.keeper.given_totals() if total.receiver == "m1.1"]
-    asker.keeper.receive(BUDGET, giver.keeper.holder, given.total)
+    (given,) = [total for total in giver.manager.given_totals() if total.receiver == "m1.1"]
+    asker.manager.receive(BUDGET, giver.manager.holder, given.total)
     assert isinstance(asker.request(700), Success)
 
 
-def test_a_lowered_limit_is_given_back():
+def test_tokens_above_a_lowered_limit_are_returned():
     fleet = busy_fleet()
     for machine in fleet.machines:
-        machine.keeper.set_limits(2, {BUDGET: fleet.used + 100})
+        machine.manager.set_limits(2, {BUDGET: fleet.used + 100})
     for _ in range(3):
         for machine in fleet.machines:
-            machine.keeper.renew()
-    assert sum(machine.keeper.spendable()[BUDGET] for machine in fleet.machines) <= 100
+            machine.manager.renew()
+    assert sum(machine.manager.spendable()[BUDGET] for machine in fleet.machines) <= 100
 
 
-def use_all(fleet):
+def use_all_tokens(fleet):
     """Use whatever can still be had anywhere."""
     for _ in range(6):
         for machine in fleet.machines:
             machine.release()
-            machine.keeper.renew()
+            machine.manager.renew()
             for tokens in (2000, 300, 37):
                 while isinstance(machine.request(tokens), Success):
                     machine.settle(1.0)
@@ -613,11 +613,11 @@
 
 @pytest.mark.parametrize("death", ["kill", "power", "power and a jump back"])
 @pytest.mark.parametrize("seconds", [0.0, 2.0, 9.0])
-def test_what_was_used_while_cut_off_is_not_given_out_again(death, seconds):
+def test_tokens_used_while_cut_off_are_not_granted_again(death, seconds):
     fleet = busy_fleet(limit=40_000, seconds=6)
     machine = fleet.machines[0]
     machine.cut_off = True
-    machine.keeper.renew()
+    machine.manager.renew()
     fleet.now += seconds
     while isinstance(machine.request(37), Success):
         machine.settle(1.0)
@@ -625,39 +625,39 @@
         machine.steady_offset = 5e5
     if death == "power and a jump back":
         machine.wall_offset = -3.0
-    machine.die()
+    machine.crash()
     machine.cut_off = False
-    use_all(fleet)
+    use_all_tokens(fleet)
     assert 0.7 * fleet.limit < fleet.used <= fleet.limit
 
 
 def row_of(fleet, machine):
-    return fleet.books().rows.get(machine.keeper.holder)
+    return fleet.entry().rows.get(machine.manager.holder)
 
 
-def test_a_stopping_machine_goes_on_reporting_and_giving_back():
+def test_stopping_machine_keeps_reporting_and_returning_tokens():
     fleet = busy_fleet()
     machine = fleet.machines[0]
-    machine.keeper.drain(False)
+    machine.manager.drain(False)
     machine.request(500)
     machine.settle(0.2)
-    machine.keeper.renew()
+    machine.manager.renew()
     row = row_of(fleet, machine)
     assert (row.outstanding, row.billed) == (0, 300 * 20 + 100)
 
 
-def test_a_final_order_closes_the_row_though_requests_are_open():
+def test_final_order_closes_the_row_despite_open_requests():
     fleet = busy_fleet()
     machine = fleet.machines[0]
     machine.request(500)
-    machine.keeper.drain(False)
-    machine.keeper.drain(True)
+    machine.manager.drain(False)
+    machine.manager.drain(True)
     assert row_of(fleet, machine) is None
-    assert fleet.books().unproven == 500
+    assert fleet.entry().unproven == 500
     assert isinstance(machine.request(10), Failure)
 
 
-def test_callers_are_told_to_come_back_later_while_the_books_are_away():
+def test_retry_after_is_longer_while_the_store_is_unreachable():
     fleet = Fleet(2, 1000)
     options = GrantOptions()
     fleet.machines[0].request(900)
@@ -666,27 +666,27 @@
     assert machine.request(200).failure().retry_after == options.retry_after
     machine.cut_off = True
     fleet.now += 6.0
-    assert machine.request(200).failure().retry_after == options.away_retry_after
+    assert machine.request(200).failure().retry_after == options.unreachable_retry_after
 
 
-def test_orders_that_can_not_arrive_do_not_take_back_what_was_released():
+def test_undeliverable_orders_do_not_revoke_released_tokens():
     """In an outage the allowance of quiet seconds is there for the busy ones."""
     fleet = busy_fleet()
     machine = fleet.machines[0]
     machine.cut_off = True
     fleet.lose_peer_replies = 100
     for _ in range(5):
-        machine.keeper.renew()
+        machine.manager.renew()
         fleet.now += 1.0
     assert isinstance(machine.request(4 * 300), Success)
 
 
 @pytest.mark.parametrize(("limit", "ahead"), [(1_000_000, 2.5), (40_000, 1.5)])
-def test_a_budget_that_lasts_for_long_is_released_more_freely(limit, ahead):
+def test_plentiful_budget_is_released_more_freely(limit, ahead):
     fleet = busy_fleet(limit=limit)
     machine = fleet.machines[0]
-    machine.keeper.renew()
-    schedule = fleet.books().rows[machine.keeper.holder].schedule
+    machine.manager.renew()
+    schedule = fleet.entry().rows[machine.manager.holder].schedule
     assert schedule.base - 20 * 300 == pytest.approx(ahead * 300, rel=0.15)
 
 
@@ -696,13 +696,13 @@
     for machine in fleet.machines:
         machine.supplier = fleet.machines[0]
     for _ in range(15):
-        work(fleet)
+        run_second(fleet)
     return fleet
 
 
 def test_only_the_supplier_holds_tokens_ahead():
     fleet = supplied_fleet()
-    first, *others = (machine.keeper.spendable()[BUDGET] for machine in fleet.machines)
+    first, *others = (machine.manager.spendable()[BUDGET] for machine in fleet.machines)
     assert first >= 5 * 900
     assert all(held <= 2 * 100 for held in others)
 
@@ -711,10 +711,10 @@
     fleet = supplied_fleet()
     for machine in fleet.machines:
         machine.cut_off = True
-    assert sum(work(fleet) for _ in range(9)) == 9 * 9
+    assert sum(run_second(fleet) for _ in range(9)) == 9 * 9
 
 
-def test_a_request_of_a_supplied_machine_writes_no_books():
+def test_request_at_a_supplied_machine_does_not_access_the_store():
     fleet = supplied_fleet()
     calls = fleet.store.calls
     for _ in range(5):
@@ -722,35 +722,35 @@
     assert fleet.store.calls == calls
 
 
-def test_a_supplier_that_has_too_little_gives_nothing_and_draws_more():
+def test_supplier_with_too_few_tokens_gives_none_and_draws_more():
     fleet = supplied_fleet()
     first, second, _ = fleet.machines
-    first.keeper.renew()
-    before = first.keeper.spendable()[BUDGET]
+    first.manager.renew()
+    before = first.manager.spendable()[BUDGET]
     need = before + 1000
-    assert first.keeper.give_as_supplier(BUDGET, second.keeper.holder, 10**9, need, 0) <= 10**9
-    first.keeper.draw_for_peer(BUDGET, need)
-    assert first.keeper.spendable()[BUDGET] >= need
+    assert first.manager.give_as_supplier(BUDGET, second.manager.holder, 10**9, need, 0) <= 10**9
+    first.manager.draw_for_peer(BUDGET, need)
+    assert first.manager.spendable()[BUDGET] >= need
 
 
-def test_a_supplier_draws_before_anybody_asks():
+def test_supplier_draws_before_the_first_request():
     fleet = Fleet(3, 100_000)
     for machine in fleet.machines:
         machine.supplier = fleet.machines[0]
-        machine.keeper.can_draw_ahead = True
-        machine.keeper.renew()
-    assert fleet.machines[0].keeper.spendable()[BUDGET] == 4000
+        machine.manager.can_draw_ahead = True
+        machine.manager.renew()
+    assert fleet.machines[0].manager.spendable()[BUDGET] == 4000
     assert isinstance(fleet.machines[1].request(1500), Success)
-    assert list(fleet.books().rows) == ["m0.1"]
+    assert list(fleet.entry().rows) == ["m0.1"]
 
 
-def test_without_a_reply_of_the_supplier_a_machine_draws_by_itself():
+def test_machine_draws_itself_if_the_supplier_does_not_reply():
     fleet = supplied_fleet()
-    fleet.machines[1].keeper.spares.request_from_supplier = lambda *question: []
+    fleet.machines[1].manager.spares.request_from_supplier = lambda *question: []
     assert isinstance(fleet.machines[1].request(500), Success)
 
 
-def test_where_requests_are_large_a_supplier_loses_less_by_a_kill_of_all():
+def test_supplier_reduces_the_loss_from_large_requests_when_all_are_killed():
     """Each machine keeps one request released; with a supplier only that one does."""
 
     def lost(supplied):
@@ -764,33 +764,33 @@
                 if machine.covers:
                     machine.settle(0.5)
                 machine.release()
-                machine.keeper.renew()
+                machine.manager.renew()
             fleet.now += 1.0
         used = fleet.used
         for machine in fleet.machines:
-            machine.die()
+            machine.crash()
         fleet.now += 1.0
         for machine in fleet.machines:
             machine.release()
-        books = fleet.books()
-        return books.billed + books.unproven - used
+        entry = fleet.entry()
+        return entry.billed + entry.unproven - used
 
     assert 0 <= lost(supplied=True) < 0.6 * lost(supplied=False)
 
 
-def test_a_request_that_comes_at_once_again_gets_the_same_answer():
+def test_immediate_retry_is_refused_for_the_same_reason():
     """What the peers said a moment ago still tells exhausted from contended."""
     fleet = Fleet(2, 1000)
     fleet.machines[0].request(900)
-    fleet.machines[1].keeper.renew()
+    fleet.machines[1].manager.renew()
     for _ in range(2):
         assert isinstance(fleet.machines[1].request(200).failure(), BudgetExhausted)
 
 
-def test_what_peers_did_not_have_is_not_asked_for_again_at_once():
+def test_peers_are_not_asked_again_at_once_after_a_shortage():
     fleet = busy_fleet(limit=20_000)
     asked = []
-    peers = fleet.machines[0].keeper.spares
+    peers = fleet.machines[0].manager.spares
     peers.request_from_peers = lambda *question: asked.append(question) or []
     peers.peer_count = lambda: 0
     for _ in range(3):
--- a/whinrack/budgets/tests/test_loss_of_power.py
+++ b/whinrack/budgets/tests/test_loss_of_power.py
@@ -24,21 +24,21 @@
 _DOWN_SECONDS = 2.1
 
 
-class Play:
+class Scenario:
     """One day of the workspace."""
 
     def __init__(self, seed, surge=1.0):
-        self.chance = random.Random(seed)
+        self.rng = random.Random(seed)
         self.surge = surge
         self.fleet = Fleet(3, _LIMIT)
         self.supplier, self.entry, _ = self.fleet.machines
         self.asked = self.served = 0
         for machine in self.fleet.machines:
             machine.supplier = self.supplier
-            machine.keeper.can_draw_ahead = True
+            machine.manager.can_draw_ahead = True
 
     def run(self):
-        """Play until the power is lost; returns the part that was served in the outage."""
+        """Scenario until the power is lost; returns the part that was served in the outage."""
         running = []
         for step in range(int(_POWER_LOST_AT / _STEP_SECONDS)):
             now = step * _STEP_SECONDS
@@ -57,48 +57,48 @@
                 self.entry.settle(0.9)
             if step % _STEPS_OF_A_REPORT == 0:
                 for machine in self.fleet.machines:
-                    machine.keeper.renew()
+                    machine.manager.renew()
             self.fleet.now += _STEP_SECONDS
         return self.served / self.asked
 
     def _arrivals(self, now):
         rate = _DEMAND * (self.surge if now >= _OUTAGE[0] - 2.0 else 1.0)
         expected = rate * _STEP_SECONDS / _MEAN_SIZE
-        count = int(expected) + (self.chance.random() < expected % 1.0)
-        return [self.chance.choice(_SIZES) for _ in range(count)]
+        count = int(expected) + (self.rng.random() < expected % 1.0)
+        return [self.rng.choice(_SIZES) for _ in range(count)]
 
     def lose_power(self):
         """Let all machines lose power and start again; returns the part that is out of use."""
         self.fleet.now += _DOWN_SECONDS
         for index, machine in enumerate(self.fleet.machines):
             machine.steady_offset = 1e5 * (index + 1)
-            machine.die()
+            machine.crash()
             machine.release()
-        books = self.fleet.books()
-        return (_LIMIT - books.free - self.fleet.used) / _LIMIT
+        entry = self.fleet.entry()
+        return (_LIMIT - entry.free - self.fleet.used) / _LIMIT
 
 
 def mean(values):
     return sum(values) / len(values)
 
 
-def test_what_a_lender_may_use_is_stated_anew_as_often_as_it_lends():
+def test_lending_run_renews_its_schedule_with_each_report():
     """Its statement was 2.5 s old when the power was lost: 0.135 of the budget was out of use."""
-    play = Play(1)
-    play.run()
-    stated = play.supplier.keeper._grants["b"].stated
-    assert play.supplier.steady() - stated.steady <= _STEPS_OF_A_REPORT * _STEP_SECONDS + 0.01
+    scenario = Scenario(1)
+    scenario.run()
+    stated = scenario.supplier.manager._grants["b"].last_schedule
+    assert scenario.supplier.steady() - stated.steady <= _STEPS_OF_A_REPORT * _STEP_SECONDS + 0.01
 
 
 def test_little_of_a_large_budget_is_out_of_use_after_all_lost_power():
     lost = []
     for seed in range(10):
-        play = Play(seed)
-        play.run()
-        lost.append(play.lose_power())
+        scenario = Scenario(seed)
+        scenario.run()
+        lost.append(scenario.lose_power())
     assert mean(lost) <= 0.03
 
 
-@pytest.mark.parametrize(("surge", "least"), [(1.0, 0.99), (1.5, 0.97), (2.7, 0.9)])
-def test_an_outage_refuses_little_of_it(surge, least):
-    assert mean([Play(seed, surge).run() for seed in range(10)]) >= least
+@pytest.mark.parametrize(("surge", "min_served"), [(1.0, 0.99), (1.5, 0.97), (2.7, 0.9)])
+def test_outage_refuses_little_of_a_large_budget(surge, min_served):
+    assert mean([Scenario(seed, surge).run() for seed in range(10)]) >= min_served
--- a/whinrack/budgets/tests/test_orders.py
+++ b/whinrack/budgets/tests/test_orders.py
@@ -1,40 +1,40 @@
-"""What an order that is waited for tells of the books."""
+"""What an order that is waited for tells of the backend."""
 
 from returns.result import Failure
 
 from whinrack.budgets import DrawOrder, GrantOptions
-from whinrack.budgets._orders import BookOrders, call_here, unchecked_wall_clock
+from whinrack.budgets._orders import GrantOrders, call_directly, unchecked_wall_clock
 from whinrack.exceptions import PlatformUnavailable
 
 
-class SilentBooks:
+class SilentBackend:
     """Never replies; meanwhile the store answers another call."""
 
     def __init__(self):
         self.now = 0.0
-        self.answer = []
+        self.reachable = []
 
     def draw_for_holder(self, orders):
         self.now += 1.0
-        self.answer.append(self.orders.books_answer)
-        self.orders.regained()
-        self.answer.append(self.orders.books_answer)
+        self.reachable.append(self.orders.is_store_reachable)
+        self.orders.handle_store_reachable()
+        self.reachable.append(self.orders.is_store_reachable)
         return Failure(PlatformUnavailable("no reply"))
 
 
-def test_an_order_that_was_sent_before_the_store_came_back_does_not_tell_that_it_is_away():
+def test_order_sent_before_the_store_recovered_does_not_mark_it_unreachable():
     """Such an order is waited for 1.2 s, in which the return was told to nobody."""
-    books = SilentBooks()
-    orders = BookOrders(
+    backend = SilentBackend()
+    orders = GrantOrders(
         {},
-        books,
+        backend,
         GrantOptions(),
-        lambda: books.now,
+        lambda: backend.now,
         unchecked_wall_clock,
-        call_here,
+        call_directly,
         lambda _: True,
     )
-    books.orders = orders
+    backend.orders = orders
     orders.send([DrawOrder(account="a", budget="b", holder="x", sequence=1)])
-    assert books.answer == [False, True]
-    assert not orders.books_answer
+    assert backend.reachable == [False, True]
+    assert not orders.is_store_reachable
--- a/whinrack/budgets/tests/test_restored_books.py
+++ b/whinrack/budgets/tests/test_store_restore.py
@@ -8,116 +8,116 @@
 from returns.result import Success
 
 from whinrack.budgets import ACCOUNT_KIND, AccountRow, BudgetAccount, BudgetEntry
-from whinrack.budgets._store_restore import end_hold, restored
-from whinrack.budgets.tests.test_grants import BUDGET, busy_fleet, use_all, work
+from whinrack.budgets._store_restore import end_hold, restore_account
+from whinrack.budgets.tests.test_grants import BUDGET, busy_fleet, run_second, use_all_tokens
 
 _BOUND_SECONDS = 8
 
 
-def come_back(fleet, copy):
+def restore_store(fleet, copy):
     """Restore the store, and let those that reach it state what they hold."""
     fleet.store.restore(copy)
     for machine in fleet.machines:
-        machine.keeper.handle_store_restored(fleet.store.era.current)
-        machine.keeper.renew()
+        machine.manager.handle_store_restored(fleet.store.era.current)
+        machine.manager.renew()
 
 
-def forget_books(fleet):
+def clear_known_accounts(fleet):
     """Let no writer know more of the books than the store does, as after a change of writers."""
     for machine in fleet.machines:
-        machine.keeper.books._latest.clear()
-        machine.keeper.books._editor._known.clear()
+        machine.manager.backend._latest.clear()
+        machine.manager.backend._editor._known.clear()
 
 
-@pytest.mark.parametrize("forgets", [False, True])
+@pytest.mark.parametrize("clears", [False, True])
 @pytest.mark.parametrize("lost_seconds", [1, 3, 6])
 @pytest.mark.parametrize("returns", [1, 2, 3])
-def test_a_short_budget_was_sold_over_or_left_over_when_the_store_came_back(
-    lost_seconds, returns, forgets
+def test_short_budget_is_neither_overspent_nor_left_unused_after_a_restore(
+    lost_seconds, returns, clears
 ):
     fleet = busy_fleet(limit=20_000, seconds=3)
     for _ in range(returns):
         copy = fleet.store.copy()
         for _ in range(lost_seconds):
-            work(fleet)
-        if forgets:
-            forget_books(fleet)
-        come_back(fleet, copy)
+            run_second(fleet)
+        if clears:
+            clear_known_accounts(fleet)
+        restore_store(fleet, copy)
     for _ in range(40):
-        work(fleet)
+        run_second(fleet)
     assert 0.9 * fleet.limit <= fleet.used <= fleet.limit
 
 
-def test_an_account_that_the_copy_lacks_was_never_made_again():
+def test_account_missing_from_the_copy_is_created_again():
     fleet = busy_fleet(limit=100_000, seconds=2)
     empty = (1, {})
-    come_back(fleet, empty)
-    assert sum(work(fleet) for _ in range(20)) == 20 * 9
+    restore_store(fleet, empty)
+    assert sum(run_second(fleet) for _ in range(20)) == 20 * 9
 
 
-@pytest.mark.parametrize("forgets", [False, True])
-def test_what_a_machine_drew_that_is_cut_off_at_the_return_was_sold_once_more(forgets):
+@pytest.mark.parametrize("clears", [False, True])
+def test_tokens_of_a_machine_cut_off_during_a_restore_are_not_granted_again(clears):
     fleet = busy_fleet(limit=20_000, seconds=3)
     copy = fleet.store.copy()
     for _ in range(3):
-        work(fleet)
+        run_second(fleet)
     fleet.machines[0].cut_off = True
-    if forgets:
-        forget_books(fleet)
-    come_back(fleet, copy)
+    if clears:
+        clear_known_accounts(fleet)
+    restore_store(fleet, copy)
     for _ in range(10):
-        work(fleet)
+        run_second(fleet)
     fleet.machines[0].cut_off = False
-    use_all(fleet)
+    use_all_tokens(fleet)
     assert fleet.used <= fleet.limit
 
 
-@pytest.mark.parametrize("forgets", [False, True])
-def test_a_run_that_ended_before_it_could_state_its_row_was_released_by_the_copys(forgets):
+@pytest.mark.parametrize("clears", [False, True])
+def test_run_that_ended_before_reporting_again_is_not_released_by_its_restored_row(clears):
     fleet = busy_fleet(limit=20_000, seconds=3)
     copy = fleet.store.copy()
     for _ in range(3):
-        work(fleet)
-    fleet.machines[0].die()
-    if forgets:
-        forget_books(fleet)
-    come_back(fleet, copy)
+        run_second(fleet)
+    fleet.machines[0].crash()
+    if clears:
+        clear_known_accounts(fleet)
+    restore_store(fleet, copy)
     fleet.machines[0].released = False
-    use_all(fleet)
+    use_all_tokens(fleet)
     assert fleet.used <= fleet.limit
 
 
-def test_books_that_came_back_draw_nothing_until_all_had_time_to_state_theirs():
+def test_restored_account_grants_nothing_until_holders_had_time_to_report():
     fleet = busy_fleet(limit=20_000, seconds=3)
     copy = fleet.store.copy()
-    work(fleet)
-    come_back(fleet, copy)
-    drawn = {name: row.drawn for name, row in fleet.books().rows.items()}
+    run_second(fleet)
+    restore_store(fleet, copy)
+    drawn = {name: row.drawn for name, row in fleet.entry().rows.items()}
     fleet.now += 1.0
     for machine in fleet.machines:
-        machine.keeper.renew()
-    assert {name: row.drawn for name, row in fleet.books().rows.items()} == drawn
+        machine.manager.renew()
+    assert {name: row.drawn for name, row in fleet.entry().rows.items()} == drawn
 
 
-def test_what_nobody_stated_again_is_written_off():
+def test_tokens_not_reported_again_are_written_off():
     row = AccountRow(drawn=300)
     entry = BudgetEntry(declared=1000, declared_version=1, rows={"a.1": row})
-    books = restored(BudgetAccount(budgets={"b": entry}, era=1, edition=5), None, 2)
+    restored = restore_account(BudgetAccount(budgets={"b": entry}, era=1, edition=5), None, 2)
     assert entry.unstated == {"a.1"}
     entry.known_taken = 450
-    end_hold(books)
+    end_hold(restored)
     assert (entry.unaccounted, entry.free) == (150, 550)
 
 
-def test_the_later_of_the_copy_and_of_what_the_writer_knows_is_gone_on_with():
-    def books(era, edition):
+def test_restore_continues_with_the_later_of_the_copy_and_the_known_account():
+    def account(era, edition):
         return BudgetAccount(era=era, edition=edition)
 
-    assert restored(books(1, 5), books(1, 9), 2).edition == 9
-    assert restored(books(1, 9), books(1, 5), 2).edition == 9
-    assert restored(books(2, 3), books(1, 9), 3).edition == 3
-    assert restored(None, books(1, 9), 2).edition == 9
-    assert restored(None, None, 2).edition == 0
+    assert restore_account(account(1, 5), account(1, 9), 2).edition == 9
+    assert restore_account(account(1, 9), account(1, 5), 2).edition == 9
+    assert restore_account(account(2, 3), account(1, 9), 3).edition == 3
+    assert restore_account(None, account(1, 9), 2).edition == 9
+    assert restore_account(None, None, 2).edition == 0
 
 
 class NeverBeyondTheLimitAcrossReturns(RuleBasedStateMachine):
@@ -130,7 +130,7 @@
 
     @rule()
     def pass_a_second(self):
-        work(self.fleet)
+        run_second(self.fleet)
         self.copies = [*self.copies, self.fleet.store.copy()][-_BOUND_SECONDS:]
 
     @rule(index=st.integers(0, 2), tokens=st.sampled_from([37, 300, 2000]))
@@ -144,12 +144,12 @@
     @rule(age=st.integers(1, _BOUND_SECONDS))
     def come_back(self, age):
         copy = self.copies[-min(age, len(self.copies))]
-        come_back(self.fleet, copy)
+        restore_store(self.fleet, copy)
         self.copies = [self.fleet.store.copy()]
 
     @rule()
-    def forget_books(self):
-        forget_books(self.fleet)
+    def clear_known_accounts(self):
+        clear_known_accounts(self.fleet)
 
     @rule(index=st.integers(0, 2))
     def cut(self, index):
@@ -177,14 +177,14 @@
 
     @invariant()
     def never_beyond_the_limit(self):
-        assert self.fleet.spent_at_most() <= self.fleet.limit
+        assert self.fleet.max_spent() <= self.fleet.limit
 
     def teardown(self):
         """Heal everything and use what is left: what was used before must not come back."""
         self.fleet.store.apply_held()
         for machine in self.fleet.machines:
             machine.cut_off = False
-        use_all(self.fleet)
+        use_all_tokens(self.fleet)
         self.never_beyond_the_limit()
 
 
@@ -194,28 +194,28 @@
 TestNeverBeyondTheLimitAcrossReturns = NeverBeyondTheLimitAcrossReturns.TestCase
 
 
-def test_a_write_of_an_earlier_era_that_was_done_late_took_back_what_was_written_since():
+def test_late_write_of_an_earlier_era_does_not_undo_later_writes():
     fleet = busy_fleet(limit=20_000, seconds=3)
     copy = fleet.store.copy()
     late = fleet.store.objects[ACCOUNT_KIND, "a"]
-    work(fleet)
-    come_back(fleet, copy)
+    run_second(fleet)
+    restore_store(fleet, copy)
     for _ in range(4):
-        work(fleet)
-    fleet.machines[1].die()
+        run_second(fleet)
+    fleet.machines[1].crash()
     for _ in range(2):
-        work(fleet)
+        run_second(fleet)
     present = fleet.store.objects[ACCOUNT_KIND, "a"]
     fleet.store.put(ACCOUNT_KIND, "a", late.value, present.version)
-    use_all(fleet)
+    use_all_tokens(fleet)
     assert 0.9 * fleet.limit <= fleet.used <= fleet.limit
-    assert not any(m.keeper._grant(BUDGET).ledger.is_closed for m in fleet.machines)
+    assert not any(m.manager._grant(BUDGET).ledger.is_closed for m in fleet.machines)
 
 
-def test_books_that_an_earlier_build_wrote_could_not_be_drawn_from():
+def test_account_written_by_an_earlier_version_can_be_drawn_from():
     fleet = busy_fleet(limit=20_000, seconds=2)
     stored = fleet.store.objects[ACCOUNT_KIND, "a"]
-    books = msgspec.json.decode(stored.value)
-    del books["era"], books["edition"], books["is_held"]
-    fleet.store.put(ACCOUNT_KIND, "a", msgspec.json.encode(books), stored.version)
-    assert work(fleet) == 9
+    account = msgspec.json.decode(stored.value)
+    del account["era"], account["edition"], account["is_held"]
+    fleet.store.put(ACCOUNT_KIND, "a", msgspec.json.encode(account), stored.version)
+    assert run_second(fleet) == 9
--- a/whinrack/budgets/tests/test_waiting.py
+++ b/whinrack/budgets/tests/test_waiting.py
@@ -20,18 +20,18 @@
 BUDGET = "b"
 
 
-class SlowBooks(AccountBackend):
+class SlowBackend(AccountBackend):
     """Books that take a while and count the calls."""
 
     def __init__(self):
-        self.drawer = AccountWriter(MemoryStore(), Semaphore, sleep=eventlet.sleep, seed=1)
+        self.writer = AccountWriter(MemoryStore(), Semaphore, sleep=eventlet.sleep, seed=1)
         self.calls = 0
         self.seconds = 0.02
 
     def draw_for_holder(self, orders):
         self.calls += 1
         eventlet.sleep(self.seconds)
-        return self.drawer.draw_for_holder(orders)
+        return self.writer.draw_for_holder(orders)
 
 
 class NoPeers(SpareTokenSource):
@@ -43,22 +43,22 @@
 
 
 @pytest.fixture
-def books():
-    return SlowBooks()
+def backend():
+    return SlowBackend()
 
 
 @pytest.fixture
-def keeper(books):
-    keeper = GrantManager("m.1", "a", books, NoPeers(), GrantOptions(), make_lock=Semaphore)
-    keeper.set_limits(1, {BUDGET: 10_000_000})
-    return keeper
+def manager(backend):
+    manager = GrantManager("m.1", "a", backend, NoPeers(), GrantOptions(), make_lock=Semaphore)
+    manager.set_limits(1, {BUDGET: 10_000_000})
+    return manager
 
 
-def test_requests_that_wait_together_are_drawn_for_together(keeper, books):
-    waiters = [eventlet.spawn(keeper.cover, BUDGET, 1000 + number) for number in range(10)]
+def test_waiting_requests_share_draws(manager, backend):
+    waiters = [eventlet.spawn(manager.cover, BUDGET, 1000 + number) for number in range(10)]
     covers = [waiter.wait() for waiter in waiters]
     assert all(isinstance(cover, Success) for cover in covers)
-    assert books.calls <= 3
+    assert backend.calls <= 3
 
 
 def isolate(function, seconds):
@@ -67,42 +67,42 @@
     return None
 
 
-def test_a_request_does_not_wait_for_a_store_that_has_fallen_silent(books):
-    options = GrantOptions(draw_patience=0.05)
-    keeper = GrantManager(
-        "m.1", "a", books, NoPeers(), options, make_lock=Semaphore, isolate=isolate
+def test_request_does_not_wait_for_a_silent_store(backend):
+    options = GrantOptions(draw_timeout=0.05)
+    manager = GrantManager(
+        "m.1", "a", backend, NoPeers(), options, make_lock=Semaphore, isolate=isolate
     )
-    keeper.set_limits(1, {BUDGET: 10_000_000})
-    keeper.renew()
-    books.seconds = 3.0
+    manager.set_limits(1, {BUDGET: 10_000_000})
+    manager.renew()
+    backend.seconds = 3.0
     with eventlet.Timeout(1.0):
-        assert isinstance(keeper.cover(BUDGET, 5_000), Failure)
+        assert isinstance(manager.cover(BUDGET, 5_000), Failure)
 
 
-def test_an_order_that_a_request_gave_up_is_learnt_when_it_is_answered(books):
-    options = GrantOptions(draw_patience=0.05)
-    keeper = GrantManager(
-        "m.1", "a", books, NoPeers(), options, make_lock=Semaphore, isolate=isolate
+def test_result_of_an_order_given_up_by_its_request_is_applied_on_arrival(backend):
+    options = GrantOptions(draw_timeout=0.05)
+    manager = GrantManager(
+        "m.1", "a", backend, NoPeers(), options, make_lock=Semaphore, isolate=isolate
     )
-    keeper.set_limits(1, {BUDGET: 10_000_000})
-    books.seconds = 0.2
-    assert isinstance(keeper.cover(BUDGET, 5_000), Failure)
+    manager.set_limits(1, {BUDGET: 10_000_000})
+    backend.seconds = 0.2
+    assert isinstance(manager.cover(BUDGET, 5_000), Failure)
     eventlet.sleep(0.3)
-    assert keeper.spendable()[BUDGET] >= 5_000
-    assert isinstance(keeper.cover(BUDGET, 5_000), Success)
+    assert manager.spendable()[BUDGET] >= 5_000
+    assert isinstance(manager.cover(BUDGET, 5_000), Success)
 
 
-def test_a_request_that_is_given_up_while_it_waits_is_not_counted_any_more(keeper, books):
-    books.seconds = 0.2
-    first = eventlet.spawn(keeper.cover, BUDGET, 1_000)
-    second = eventlet.spawn(keeper.cover, BUDGET, 700_000)
+def test_request_cancelled_while_waiting_is_no_longer_counted(manager, backend):
+    backend.seconds = 0.2
+    first = eventlet.spawn(manager.cover, BUDGET, 1_000)
+    second = eventlet.spawn(manager.cover, BUDGET, 700_000)
     eventlet.sleep(0.05)
     second.kill()
     assert isinstance(first.wait(), Success)
-    assert keeper._grants[BUDGET].waiting == 0
+    assert manager._grants[BUDGET].waiting_tokens == 0
 
 
-def test_orders_that_arrive_soon_after_one_another_share_a_write():
+def test_orders_in_quick_succession_share_a_write():
     class Counting(MemoryStore):
         writes = 0
 
@@ -111,7 +111,7 @@
             return super().put(kind, name, value, version)
 
     store = Counting()
-    drawer = AccountWriter(
+    writer = AccountWriter(
         store, Semaphore, lambda batch: eventlet.sleep(0.05), sleep=eventlet.sleep
     )
 
@@ -127,14 +127,14 @@
             limit=100,
             limit_version=1,
         )
-        return drawer.draw(order)
+        return writer.draw(order)
 
     results = [thread.wait() for thread in [eventlet.spawn(draw, n) for n in range(5)]]
     assert [result.unwrap().drawn for result in results] == [1] * 5
     assert store.writes == 1
 
 
-def test_an_order_that_a_request_waits_for_is_urgent():
+def test_order_that_a_request_waits_for_is_urgent():
     def batch(**fields):
         made = OrderBatch()
         made.orders = [
@@ -159,11 +159,11 @@
         return 1
 
 
-def test_requests_that_wait_together_in_vain_are_refused_together(books):
+def test_waiting_requests_are_refused_together_after_a_failed_refill(backend):
     """Each round takes a while; one after the other they would outlast their callers."""
-    keeper = GrantManager("m.1", "a", books, SilentPeers(), GrantOptions(), make_lock=Semaphore)
-    keeper.set_limits(1, {BUDGET: 1_000})
+    manager = GrantManager("m.1", "a", backend, SilentPeers(), GrantOptions(), make_lock=Semaphore)
+    manager.set_limits(1, {BUDGET: 1_000})
     began = steady()
-    waiters = [eventlet.spawn(keeper.cover, BUDGET, 5_000) for _ in range(30)]
+    waiters = [eventlet.spawn(manager.cover, BUDGET, 5_000) for _ in range(30)]
     assert all(isinstance(waiter.wait(), Failure) for waiter in waiters)
     assert steady() - began < 1.0
--- a/whinrack/budgets/tests/test_young_demand.py
+++ b/whinrack/budgets/tests/test_young_demand.py
@@ -22,14 +22,14 @@
 _STEPS_OF_A_REPORT = 10
 
 
-def play(seed):
+def run_scenario(seed):
     """Return the part of the tokens that was served."""
-    chance = random.Random(seed)
+    rng = random.Random(seed)
     fleet = Fleet(3, _LIMIT)
     supplier, entry, _ = fleet.machines
     for machine in fleet.machines:
         machine.supplier = supplier
-        machine.keeper.can_draw_ahead = True
+        machine.manager.can_draw_ahead = True
     for _ in range(10):
         renew(fleet)
         fleet.now += 1.0
@@ -39,7 +39,7 @@
         now = step * _STEP_SECONDS
         for machine in fleet.machines:
             machine.cut_off = 2.7 <= now < 4.8 or 5.1 <= now < 13.2
-        for tokens in arrivals(chance, now):
+        for tokens in arrivals(rng, now):
             asked += tokens
             cover = entry.request(tokens)
             if isinstance(cover, Success):
@@ -54,33 +54,33 @@
     return served / asked
 
 
-def arrivals(chance, now):
+def arrivals(rng, now):
     expected = (_EARLY if now < 3.0 else _LATER) * _STEP_SECONDS / 3_000
-    count = int(expected) + (chance.random() < expected % 1.0)
-    return [chance.choice(_SIZES) for _ in range(count)]
+    count = int(expected) + (rng.random() < expected % 1.0)
+    return [rng.choice(_SIZES) for _ in range(count)]
 
 
 def renew(fleet):
     for machine in fleet.machines:
-        machine.keeper.renew()
+        machine.manager.renew()
 
 
 def test_outages_right_after_the_start_refuse_little_of_a_large_budget():
-    served = [play(seed) for seed in range(10)]
+    served = [run_scenario(seed) for seed in range(10)]
     assert sum(served) / len(served) >= 0.9
 
 
 @pytest.mark.parametrize("seconds", [30, 60])
-def test_what_was_held_while_the_demand_was_unknown_is_given_back(seconds):
+def test_tokens_held_while_the_demand_was_unknown_are_returned(seconds):
     fleet = Fleet(1, _LIMIT)
     (machine,) = fleet.machines
-    machine.keeper.can_draw_ahead = True
+    machine.manager.can_draw_ahead = True
     held = []
     for _ in range(seconds):
         machine.request(1_000)
         machine.settle(1.0)
-        machine.keeper.renew()
-        held.append(machine.keeper.spendable()[BUDGET])
+        machine.manager.renew()
+        held.append(machine.manager.spendable()[BUDGET])
         fleet.now += 1.0
     assert max(held) >= 25_000
     assert held[-1] <= 17_000
--- a/whinrack/journal/_records.py
+++ b/whinrack/journal/_records.py
@@ -67,14 +67,14 @@
         for position, record in enumerate(segment.records):
             rank = (bool(record.provisional_against), segment.incarnation)
             rank = (*rank, segment.number, position)
-            held = chosen.get(record.identity)
-            loser = record
-            if held is None or rank < held[0]:
+            current = chosen.get(record.identity)
+            duplicate = record
+            if current is None or rank < current[0]:
                 chosen[record.identity] = (rank, record)
-                loser = None if held is None else held[1]
-            if loser is not None:
-                spent = duplicates.get(loser.workspace, 0)
-                duplicates[loser.workspace] = spent + loser.tokens
+                duplicate = None if current is None else current[1]
+            if duplicate is not None:
+                spent = duplicates.get(duplicate.workspace, 0)
+                duplicates[duplicate.workspace] = spent + duplicate.tokens
     bills: dict[str, WorkspaceBill] = {}
     for _, record in chosen.values():
         bill = bills.setdefault(record.workspace, WorkspaceBill())
--- a/whinrack/journal/tests/test_journal.py
+++ b/whinrack/journal/tests/test_journal.py
@@ -27,7 +27,7 @@
 
 @given(st.lists(RECORDS, min_size=1, max_size=4), st.randoms())
 @settings(max_examples=200, deadline=None, derandomize=True)
-def test_every_reader_comes_to_the_same_bill(journals, random):
+def test_merged_bill_does_not_depend_on_the_order_of_segments(journals, random):
     segments = [
         JournalSegment(f"r{index}.1", 0, tuple(record(*fields) for fields in rows))
         for index, rows in enumerate(journals)
@@ -42,7 +42,7 @@
         assert bills["w"].tokens + bills["w"].duplicate_tokens == spent
 
 
-def test_a_certain_record_goes_before_a_provisional_one():
+def test_provisional_record_yields_to_a_final_one():
     segments = [
         JournalSegment("a.1", 0, (record("w/1", 30, "home.1"),)),
         JournalSegment("home.1", 0, (record("w/1", 20),)),
@@ -51,7 +51,7 @@
     assert (bill.requests, bill.tokens, bill.duplicate_tokens) == (1, 20, 30)
 
 
-def test_commits_survive_lost_replies_and_outages_without_doubling():
+def test_commits_survive_lost_replies_and_outages_without_duplicates():
     store = MemoryStore()
     writer = JournalWriter(store, "r.1", seed=1, sleep=lambda seconds: None)
     for number in range(600):
@@ -65,7 +65,7 @@
     assert sum(len(segment.records) for segment in stored(store)) == 600
 
 
-def test_marks_tell_which_records_are_kept():
+def test_committed_count_shows_which_records_are_committed():
     store = MemoryStore()
     writer = JournalWriter(store, "r.1")
     mark = writer.add(record("w/1"))
--- a/whinrack/requests/_claims.py
+++ b/whinrack/requests/_claims.py
@@ -68,13 +68,13 @@
         self, identity: RequestIdentity, digest: bytes
     ) -> Result[RequestClaim, PlatformFailure]:
         """Claim a request; returns the claim that stands, which may be another's."""
-        mine = RequestClaim(self.incarnation, digest.hex(), at=self.wall_clock())
+        own_claim = RequestClaim(self.incarnation, digest.hex(), at=self.wall_clock())
 
         def change(stored: RequestClaim | None) -> RequestClaim | None:
             if stored is None:
-                return mine
-            if stored.not_run and stored.digest == mine.digest:
-                return mine
+                return own_claim
+            if stored.not_run and stored.digest == own_claim.digest:
+                return own_claim
             return None
 
         return self._editor.apply(identity.request_id, change)
--- a/whinrack/requests/_identity.py
+++ b/whinrack/requests/_identity.py
@@ -16,7 +16,7 @@
     "encode_ticket",
 ]
 
-_LONGEST_KEY = 200
+_MAX_KEY_LENGTH = 200
 _REQUEST_ID_BYTES = 12
 _TICKET_PREFIX = "t1."
 
@@ -59,9 +59,9 @@
         """
         if not header:
             return cls(workspace, new_request_id(), has_caller_key=False)
-        if len(header) > _LONGEST_KEY or not header.isascii() or not header.isprintable():
+        if len(header) > _MAX_KEY_LENGTH or not header.isascii() or not header.isprintable():
             raise BadRequest(
-                f"Idempotency-Key: allowed are 1 to {_LONGEST_KEY} printable ASCII characters",
+                f"Idempotency-Key: allowed are 1 to {_MAX_KEY_LENGTH} printable ASCII characters",
                 param="Idempotency-Key",
             )
         return cls(workspace, header, has_caller_key=True)
@@ -94,6 +94,6 @@
 
 def decode_ticket(header: str) -> Ticket | None:
     """Decode a ticket; None for none at all or one that isn't ours."""
-    if not header.startswith(_TICKET_PREFIX) or len(header) > _LONGEST_KEY:
+    if not header.startswith(_TICKET_PREFIX) or len(header) > _MAX_KEY_LENGTH:
         return None
     return Ticket(home=header.removeprefix(_TICKET_PREFIX))
--- a/whinrack/requests/_memory.py
+++ b/whinrack/requests/_memory.py
@@ -105,7 +105,7 @@
         self.retention = retention
         self.max_entries = max_entries
         self._entries: OrderedDict[str, MemoryEntry] = OrderedDict()
-        self._inherited: dict[str, float] = {}
+        self._taken_over: dict[str, float] = {}
 
     def __len__(self) -> int:
         return len(self._entries)
@@ -124,7 +124,7 @@
         )
         self._entries[identity] = entry
         self._entries.move_to_end(identity)
-        self._trim(now)
+        self._evict(now)
         return entry
 
     def restore(self, identity: str, entry: MemoryEntry | None) -> None:
@@ -156,23 +156,23 @@
 
     def take_over(self, home: str, entries: list[HandoverEntry], now: float) -> None:
         """Take over the memory of a home that has stopped as planned."""
-        self._inherited[home] = now + self.retention
-        for handed in entries:
-            held = self._entries.get(handed.identity)
+        self._taken_over[home] = now + self.retention
+        for handover in entries:
+            existing = self._entries.get(handover.identity)
             # What was ceded to the home that stops is better known to it.
-            if held is None or held.owner == home:
-                self._entries[handed.identity] = MemoryEntry(
-                    handed.digest, handed.owner, handed.state, expires=now + self.retention
+            if existing is None or existing.owner == home:
+                self._entries[handover.identity] = MemoryEntry(
+                    handover.digest, handover.owner, handover.state, expires=now + self.retention
                 )
-        self._trim(now)
+        self._evict(now)
 
     def taken_over_homes(self, now: float) -> list[str]:
         """Return the homes that this incarnation is an heir of."""
-        return [home for home, until in self._inherited.items() if until > now]
+        return [home for home, until in self._taken_over.items() if until > now]
 
     def is_responsible_for(self, home: str, now: float) -> bool:
         """Whether this incarnation is a home's heir, or the home itself."""
-        return home in ("", self.incarnation) or self._inherited.get(home, 0.0) > now
+        return home in ("", self.incarnation) or self._taken_over.get(home, 0.0) > now
 
     def consult(
         self,
@@ -232,10 +232,10 @@
         self._entries[identity] = MemoryEntry(
             digest=digest, owner=asker, state=RunState.CEDED, expires=now + self.retention
         )
-        self._trim(now)
+        self._evict(now)
         return ConsultReply(ConsultDecision.CEDED, asker)
 
-    def _trim(self, now: float) -> None:
+    def _evict(self, now: float) -> None:
         """Forget expired entries, and the oldest ended ones beyond the limit."""
         for identity in list(self._entries)[: max(2, len(self._entries) - self.max_entries)]:
             entry = self._entries[identity]
--- a/whinrack/requests/_token_bounds.py
+++ b/whinrack/requests/_token_bounds.py
@@ -16,7 +16,7 @@
     "output_token_limit",
 ]
 
-_MOST_CHOICES = 8
+_MAX_CHOICES = 8
 # Extensions of engines that repeat the prompt, fetch content or generate unseen choices.
 _UNBOUNDED_FIELDS = frozenset(
     {"best_of", "use_beam_search", "chat_template", "chat_template_kwargs", "documents"}
@@ -96,8 +96,8 @@
     the pool's `prompt_overhead_tokens` a message or tool. Content that the engine
     fetches from elsewhere has no such bound and is refused.
     """
-    if not 1 <= request.n <= _MOST_CHOICES:
-        raise BadRequest(f"n: allowed is 1 to {_MOST_CHOICES}, got {request.n}", param="n")
+    if not 1 <= request.n <= _MAX_CHOICES:
+        raise BadRequest(f"n: allowed is 1 to {_MAX_CHOICES}, got {request.n}", param="n")
     for message in request.messages:
         content = bytes(message.content).lstrip()
         if not content.startswith((b'"', b"null")):
--- a/whinrack/requests/tests/test_requests.py
+++ b/whinrack/requests/tests/test_requests.py
@@ -46,12 +46,12 @@
 
 
 @pytest.mark.parametrize("key", ["x" * 201, "a\nb", "é"])
-def test_bad_keys_are_refused(key):
+def test_invalid_keys_are_rejected(key):
     with pytest.raises(BadRequest):
         RequestIdentity.from_header("w", key)
 
 
-def test_ticket_survives_the_way_to_the_caller_and_back():
+def test_ticket_round_trip():
     assert decode_ticket(encode_ticket(Ticket("r.1"))) == Ticket("r.1")
     assert decode_ticket("something else") is None
 
@@ -63,25 +63,25 @@
 @pytest.mark.parametrize(
     "fields", [{"max_tokens": 0}, {"max_tokens": -5}, {"max_tokens": 101}, {"n": 0}, {"n": 10**9}]
 )
-def test_absurd_limits_are_refused(fields):
+def test_limits_out_of_range_are_rejected(fields):
     with pytest.raises(BadRequest):
         request_token_bound(chat(**fields), body_length=50, pool=POOL)
 
 
-def test_content_without_a_provable_bound_is_refused():
+def test_content_without_a_provable_bound_is_rejected():
     image = [{"role": "user", "content": [{"type": "image_url", "image_url": {"url": "x"}}]}]
     with pytest.raises(CoverUnbounded):
         request_token_bound(chat(messages=image), body_length=50, pool=POOL)
 
 
-def test_home_cedes_once_and_sends_others_to_the_owner():
+def test_home_cedes_once_and_refers_others_to_the_owner():
     memory = RequestMemory("home.1")
     assert consult(memory, "b.1") == (ConsultDecision.CEDED, "b.1")
     assert consult(memory, "b.1") == (ConsultDecision.CEDED, "b.1")
     assert consult(memory, "c.1") == (ConsultDecision.ELSEWHERE, "b.1")
 
 
-def test_a_lost_owner_is_replaced_only_for_what_may_be_repeated():
+def test_lost_owner_is_replaced_only_for_repeatable_requests():
     memory = RequestMemory("home.1")
     consult(memory, "b.1")
     verdict, _ = consult(memory, "c.1", lost="b.1", repeatable=False)
@@ -89,13 +89,13 @@
     assert consult(memory, "c.1", lost="b.1") == (ConsultDecision.CEDED, "c.1")
 
 
-def test_another_body_under_the_same_key_is_a_mistake():
+def test_key_reused_with_another_body_is_a_mismatch():
     memory = RequestMemory("home.1")
     consult(memory, "b.1")
     assert consult(memory, "c.1", digest=body_digest(b"x"))[0] is ConsultDecision.BODY_MISMATCH
 
 
-def test_what_runs_here_is_joined_here_and_what_did_not_run_is_ceded():
+def test_running_request_is_joined_and_one_that_did_not_run_is_ceded():
     memory = RequestMemory("home.1")
     memory.reserve("w/k", DIGEST, now=0.0)
     memory.set_state("w/k", RunState.RUNNING, now=0.0)
@@ -104,7 +104,7 @@
     assert consult(memory, "b.1") == (ConsultDecision.CEDED, "b.1")
 
 
-def test_two_that_ask_each_other_come_to_one_owner():
+def test_two_incarnations_that_ask_each_other_agree_on_one_owner():
     first, second = RequestMemory("a.1"), RequestMemory("b.1")
     for memory in (first, second):
         memory.reserve("w/k", DIGEST, now=0.0)
@@ -112,7 +112,7 @@
     assert verdicts == [ConsultDecision.CEDED, ConsultDecision.HERE]
 
 
-def test_memory_is_bounded_and_keeps_what_runs():
+def test_memory_is_bounded_and_keeps_running_requests():
     memory = RequestMemory("home.1", retention=10.0, max_entries=50)
     memory.reserve("w/running", DIGEST, now=0.0)
     memory.set_state("w/running", RunState.RUNNING, now=0.0)
@@ -123,7 +123,7 @@
     assert memory.find("w/running") is not None
 
 
-def test_a_claim_has_one_holder_through_lost_replies_and_races():
+def test_claim_has_one_holder_despite_lost_replies():
     for lost in itertools.product((0, 1), repeat=2):
         store = MemoryStore()
         identity = RequestIdentity.from_header("w", "k")
@@ -135,7 +135,7 @@
         assert verdicts == [ClaimStatus.HELD, ClaimStatus.HELD_ELSEWHERE]
 
 
-def test_a_claim_that_was_given_up_can_be_made_anew():
+def test_abandoned_claim_can_be_made_again():
     store = MemoryStore()
     identity = RequestIdentity.from_header("w", "k")
     first, second = ClaimStore(store, "a.1"), ClaimStore(store, "b.1")
@@ -146,7 +146,7 @@
     assert evaluate_claim(other, "b.1", body_digest(b"x")).unwrap() is ClaimStatus.BODY_MISMATCH
 
 
-def test_no_claim_is_made_while_the_platform_is_away():
+def test_claim_fails_while_the_platform_is_unreachable():
     store = MemoryStore()
     store.down = True
     result = ClaimStore(store, "a.1").claim(RequestIdentity.from_header("w", "k"), DIGEST)
