--- a/whinrack/budgets/__init__.py
+++ b/whinrack/budgets/__init__.py
@@ -1,4 +1,4 @@
-"""Prepaid budgets: books in the platform, grants at the instances, covers of requests."""
+"""Prepaid token budgets: stored accounts, grants held by instances, covers of requests."""
 
 from whinrack.budgets._account import (
     AccountRow,
--- a/whinrack/budgets/_account.py
+++ b/whinrack/budgets/_account.py
@@ -1,10 +1,10 @@
-"""Account objects: who holds how many tokens of which budget.
+"""Stored budget accounts: how many tokens of each budget every holder has.
 
-An account object holds many budgets. Every number of a holder's row is cumulative and
-only grows, so that applying a report twice, late or out of order changes nothing. The
-safety of the whole system rests on one rule here: tokens leave `free` by a conditional
-write *before* their holder may spend them, and come back only by the holder's own
-report or an operator's word.
+One account object stores many budgets. Every amount in a holder's row is cumulative and never
+decreases, so applying the same report twice, late or out of order changes nothing. Overspending
+is prevented by one rule: tokens leave `free` in a conditional write *before* their holder may
+spend them, and they return only through the holder's own report, through the release of an
+earlier run, or through an operator's release.
 """
 
 import msgspec
@@ -15,32 +15,32 @@
 
 
 class AccountRow(msgspec.Struct, kw_only=True, array_like=True):
-    """What one incarnation holds of one budget; all amounts cumulative tokens.
+    """Account of one holder (an incarnation of an instance) for one budget, in cumulative tokens.
 
     Attributes
     ----------
     drawn : int
-        Taken out of the budget's free tokens.
+        Drawn from the free tokens of the budget.
     received : dict of str to int
-        Given by peers, by giver.
+        Received from peers, by giver.
     moved_out : int
         Given to peers, as reported by the receivers.
     returned : int
-        Put back into the free tokens.
+        Returned to the free tokens.
     billed : int
-        Spent on requests that are in the usage journal.
+        Spent on requests whose bills are in the usage journal.
     unproven : int
-        Taken out of use though no bill covers it, such as the unreported rest of a
-        cut answer's cover.
+        Withdrawn from use although no bill covers them, such as the unreported rest of the cover
+        of an interrupted answer.
     sequence : int
-        The last draw order that was applied.
+        Sequence number of the last order that was applied.
     closed : bool
-        No order of this holder is applied any more.
+        Whether further orders of this holder are rejected.
     released : bool
-        Closed by an operator's word, or by the next run of the same instance; kept,
-        since peers may still report transfers.
+        Whether the row was closed by an operator or by the next run of the same instance. The row
+        is kept, since peers may still report transfers from it.
     schedule : ReleaseSchedule or None
-        How much of the grant its holder may have used by when.
+        Limits how much of the grant its holder may have used at any time.
     """
 
     drawn: int = 0
@@ -56,39 +56,39 @@
 
     @property
     def taken(self) -> int:
-        """Tokens that are out of the free ones because of this row."""
+        """Tokens that are not free because of this row."""
         return self.drawn + sum(self.received.values()) - self.moved_out - self.returned
 
     @property
     def outstanding(self) -> int:
-        """Tokens that the holder can still spend, as far as it has reported."""
+        """Tokens that the holder can still spend according to its reports."""
         return self.taken - self.billed - self.unproven
 
 
 class BudgetEntry(msgspec.Struct, kw_only=True):
-    """One budget's books.
+    """Account of one budget.
 
     Attributes
     ----------
     topups : dict of str to int
-        Payments by id.
+        Tokens paid in, by payment id.
     declared, declared_version : int
-        A limit that the configuration states in place of payments, and the version of
-        the configuration that stated it; version 0 if none does.
+        Limit that the configuration declares instead of payments, and the version of the
+        configuration that declared it; version 0 if there is no declared limit.
     settled_billed, settled_unproven : int
-        Totals of rows that were folded away.
+        Totals of the closed rows that were removed.
     rows : dict of str to AccountRow
-        By holder incarnation.
+        By incarnation of the holder.
     unaccounted : int
-        Handed out in writes that the store lost, and stated again by no holder.
+        Tokens granted in writes that the store lost and that no holder has reported again.
     known_taken, known_edition : int
-        What was out of the free tokens by the latest books that anybody knows of an earlier
-        era, and the edition of those; read while the books are held.
+        `taken` in the latest known account of an earlier era, and the edition of that account.
+        Collected while the account is held.
     unstated : set of str
-        Holders whose rows come from a copy of the store and that have ordered nothing since:
-        they may have drawn and used more.
+        Holders whose rows come from a restored copy of the store and that have sent no order
+        since. They may have drawn and used more than their row says.
     stated : set of str
-        Holders that have ordered while the books are held.
+        Holders that have sent an order while the account is held.
     """
 
     topups: dict[str, int] = {}
@@ -105,19 +105,19 @@
 
     @property
     def limit(self) -> int:
-        """Tokens that may be spent in all."""
+        """Total number of tokens that may be spent."""
         if self.declared_version:
             return self.declared
         return sum(self.topups.values())
 
     @property
     def billed(self) -> int:
-        """Tokens on requests that are in the usage journal."""
+        """Tokens spent on requests whose bills are in the usage journal."""
         return self.settled_billed + sum(row.billed for row in self.rows.values())
 
     @property
     def unproven(self) -> int:
-        """Tokens neither billed nor spendable."""
+        """Tokens that are neither billed nor spendable."""
         return self.settled_unproven + sum(row.unproven for row in self.rows.values())
 
     @property
@@ -127,27 +127,28 @@
 
     @property
     def taken(self) -> int:
-        """Tokens that are out of the free ones."""
+        """Tokens that are not free."""
         of_rows = sum(row.taken for row in self.rows.values())
         return self.settled_billed + self.settled_unproven + self.unaccounted + of_rows
 
     @property
     def free(self) -> int:
-        """Tokens that nobody holds."""
+        """Tokens that no holder has."""
         return self.limit - self.taken
 
 
 class BudgetAccount(msgspec.Struct, kw_only=True):
-    """The object that is stored: many budgets by name.
+    """Stored account object: many budgets by name.
 
     Attributes
     ----------
     era : int or None
-        The store's era in which the books were written last.
+        Era of the store in which the account was last written.
     edition : int
-        Writes of the books so far.
+        Number of writes so far.
     is_held : bool
-        Nothing is drawn: the store came back from a copy, and holders state again what they hold.
+        Whether draws are suspended: the store was restored from a copy, and holders are reporting
+        again what they hold.
     """
 
     budgets: dict[str, BudgetEntry] = {}
@@ -157,37 +158,37 @@
 
 
 class DrawOrder(msgspec.Struct, frozen=True, kw_only=True, array_like=True):
-    """A holder's report and its wish for more tokens.
+    """A holder's report of its totals and its request for more tokens.
 
     Attributes
     ----------
     sequence : int
-        Grows by one with each order of the holder for this budget.
+        Increases by one with each order of the holder for this budget.
     need : int
-        Tokens that are missing for a request that waits.
+        Tokens missing for a waiting request.
     want : int
-        Tokens that the holder would like to have on top.
+        Tokens that the holder asks for beyond `need`.
     received : dict of str to int
-        Cumulative tokens by giver.
+        Cumulative tokens received from peers, by giver.
     opening : bool
-        The holder knows of no applied order yet, so its row may be made.
+        Whether no order of the holder is known to be applied, so that its row may be created.
     final : bool
-        The holder stops: close its row.
+        Whether the holder stops and its row is to be closed.
     given : int or None
-        With a final order, what the holder gave to peers in all. All that it neither
-        used nor gave is free then, also what it was granted without its knowledge.
+        In a final order, the total given to peers. Everything that the holder neither used nor
+        gave away becomes free, including grants that it never learned of.
     limit, limit_version : int
-        The budget's declared limit, and the version of the configuration that stated
-        it; version 0 where payments make the limit.
+        Declared limit of the budget and the version of the configuration that declared it;
+        version 0 if the limit is made up of payments.
     schedule : ReleaseSchedule or None
-        The holder keeps to this from now on.
+        Schedule that the holder observes from now on.
     drawn : int
-        What the holder knows to have drawn in all.
+        Total that the holder knows to have drawn.
     era : int or None
-        The store's era in which an order of the holder for this budget was applied last.
+        Era of the store in which an order of the holder for this budget was last applied.
     taken, edition : int
-        Tokens that were out of the free ones by the latest books of that era that the holder
-        knows, and the edition of those.
+        `taken` of the budget in the latest account of that era that the holder knows, and the
+        edition of that account.
     """
 
     account: str
@@ -213,25 +214,25 @@
 
 
 class DrawResult(msgspec.Struct, frozen=True, kw_only=True, array_like=True):
-    """The books after a write, as far as they concern one holder.
+    """State of a budget after a write, as seen by one holder.
 
     Attributes
     ----------
     free : int
-        Tokens that nobody holds.
+        Tokens that no holder has.
     outstanding : int
-        Tokens that all holders together hold, this one included.
+        Tokens that all holders can still spend, including this one.
     billed : int
-        Tokens on all holders' bills.
+        Tokens billed for all holders.
     limit_version : int
-        Version of the configuration whose limit is in the books.
+        Version of the configuration whose limit the account has.
     holders : int
-        Holders that are not closed.
+        Number of holders whose rows are open.
     era : int or None
     edition : int
-        Of the books, as in `BudgetAccount`.
+        Of the account, as in `BudgetAccount`.
     taken : int
-        Tokens that are out of the free ones.
+        Tokens that are not free.
     """
 
     sequence: int = 0
@@ -248,5 +249,5 @@
 
     @property
     def unspent(self) -> int:
-        """Tokens that are not spent, as far as the holders have reported."""
+        """Tokens that are not spent according to the reports of all holders."""
         return self.free + self.outstanding
--- a/whinrack/budgets/_account_updates.py
+++ b/whinrack/budgets/_account_updates.py
@@ -1,4 +1,4 @@
-"""Applies payments and holders' orders to the books; doing so twice changes nothing."""
+"""Idempotent application of payments and holders' orders to accounts."""
 
 import xxhash
 
@@ -7,21 +7,21 @@
 
 __all__ = ["account_name", "apply_draws", "apply_topups"]
 
-# All holders together hold at most one part in so many of what is left.
+# All holders together hold at most the unspent tokens divided by this.
 _UNSPENT_DIVISOR = 2
-# The same part of what is left, as a percentage, for holders that keep to a schedule.
+# The corresponding share, in percent, for holders that observe a release schedule.
 _SCHEDULED_PERCENT = 75
 
 
 def account_name(budget: str, accounts: int) -> str:
-    """Return the account object that a new budget is assigned to."""
+    """Return the name of the account object that a new budget is assigned to."""
     return f"account-{xxhash.xxh64_intdigest(budget.encode()) % accounts:04d}"
 
 
 def apply_topups(
     account: BudgetAccount | None, budget: str, topups: dict[str, int]
 ) -> BudgetAccount | None:
-    """Pay in the top-ups whose ids are new; None where all are there already."""
+    """Add the payments whose ids are new; return None if there are none."""
     account = account or BudgetAccount()
     entry = account.budgets.setdefault(budget, BudgetEntry())
     missing = {key: tokens for key, tokens in topups.items() if key not in entry.topups}
@@ -32,7 +32,7 @@
 
 
 def apply_draws(account: BudgetAccount | None, orders: list[DrawOrder]) -> BudgetAccount | None:
-    """Apply orders that were not applied before; None where nothing is left to do."""
+    """Apply the orders that have not been applied yet; return None if nothing changed."""
     if account is None:
         if not any(order.limit_version for order in orders):
             return None
@@ -49,7 +49,7 @@
         entry = account.budgets[order.budget] = BudgetEntry()
     row = entry.rows.get(order.holder)
     if row is None:
-        # A late copy of an order whose holder has been folded away, unless the store lost the row.
+        # A delayed copy of an order whose holder's row was removed, unless the store lost the row.
         if not (order.opening or is_order_of_earlier_era(account, order)):
             return False
         row = entry.rows[order.holder] = AccountRow()
@@ -63,7 +63,7 @@
     _record_received(account, entry, row, order)
     row.drawn = max(row.drawn, order.drawn)
     if not account.is_held and entry.unaccounted:
-        # A holder that could not state this in time does now.
+        # The holder reports only now what it could not report while the account was held.
         stated_late = max(0, entry.taken - taken_before)
         entry.unaccounted = max(0, entry.unaccounted - stated_late)
     entry.unstated.discard(order.holder)
@@ -97,7 +97,7 @@
         if more <= 0:
             continue
         row.received = {**row.received, giver: tokens}
-        # While the books are held the giver may be about to state its row again.
+        # While the account is held, the giver may be about to report its row again.
         if giver not in entry.rows:
             entry.rows[giver] = AccountRow(closed=not account.is_held)
             if account.is_held:
@@ -114,10 +114,10 @@
 
 
 def _grant_size(entry: BudgetEntry, order: DrawOrder) -> int:
-    """Give what is needed, and of the wish no more than the holder's fair part allows.
+    """Return `need` and as much of `want` as the holder's share allows.
 
-    All holders together hold at most a part of what is left, beyond present needs, so
-    that a kill takes little out of use and the grants shrink as the budget runs low.
+    Beyond present needs, all holders together hold at most a part of the unspent tokens. This
+    limits what a crash withdraws from use, and grants shrink as the budget runs low.
     """
     if order.need > entry.free + entry.outstanding:
         # The budget can't cover the request: leave the tokens where they are.
@@ -127,8 +127,8 @@
     fair = left // (_UNSPENT_DIVISOR * max(1, len(live)))
     room = fair - entry.rows[order.holder].outstanding
     if order.schedule is not None:
-        # What dies with a holder that keeps to a schedule comes back: one may hold the
-        # part of those that hold little.
+        # The unused grant of a crashed holder with a schedule is recovered, so one holder may have
+        # the share of holders that hold little.
         held = sum(row.outstanding for row in live)
         room = max(room, left * _SCHEDULED_PERCENT // 100 - held)
     size = max(order.need, min(order.need + order.want, room))
--- a/whinrack/budgets/_account_writer.py
+++ b/whinrack/budgets/_account_writer.py
@@ -1,4 +1,4 @@
-"""Applies draw orders to account objects, many with one conditional write."""
+"""Writer that applies draw orders to account objects, many orders per conditional write."""
 
 from collections.abc import Callable
 
@@ -27,18 +27,18 @@
 __all__ = ["ACCOUNT_KIND", "AccountWriter", "AccountBackend", "OrderBatch"]
 
 ACCOUNT_KIND = "BudgetAccount"
-# For so long after the store came back from a copy holders state what they hold before anybody
-# draws: one that is fed by peers hears of it last.
+# Draws stay suspended for this long after the store was restored from a copy, so that holders can
+# report what they hold. Holders that get configuration through peers learn of the restore last.
 _HOLD_SECONDS = 2.5
 
 
 class OrderBatch:
-    """Orders, and releases of earlier runs, that share the next write of one account.
+    """Orders and releases of earlier runs that share the next write of one account.
 
     Attributes
     ----------
     released : dict of str to list of ReleasedRow
-        What the write released, by the run that asked for it.
+        What the write released, by the run that requested it.
     """
 
     def __init__(self):
@@ -48,8 +48,8 @@
         self.result: Result[BudgetAccount, PlatformFailure] | None = None
 
     def apply(self, account: BudgetAccount | None) -> BudgetAccount | None:
-        """Change the books; None where nothing is left to do."""
-        # Anew with newer books after a conflict.
+        """Modify the account; return None if nothing changed."""
+        # Rebuilt on each call: after a conflict, the batch is applied again to a newer account.
         self.released = {
             release.holder: release_earlier_runs(account, release) for release in self.releases
         }
@@ -58,53 +58,53 @@
 
     @property
     def is_urgent(self) -> bool:
-        """Whether a request waits for one of the orders, or its holder stops."""
+        """Whether a request waits for one of the orders, or a holder is stopping."""
         return any(order.need or order.final for order in self.orders)
 
 
 def _write_at_once(batch: OrderBatch) -> None:
-    """Write at once."""
+    """Return at once, so that nothing delays the write."""
 
 
 class AccountBackend:
-    """Where a holder's orders for several budgets go: the books, or a peer that writes."""
+    """Executor of a holder's orders for several budgets: the local writer or a peer."""
 
     def draw_for_holder(
         self, orders: list[DrawOrder]
     ) -> Result[dict[str, DrawResult], PlatformFailure]:
-        """Apply one holder's orders for one account; returns the state of all budgets."""
+        """Apply one holder's orders for one account; return the state of all its budgets."""
         raise NotImplementedError
 
     def find_earlier_runs(self, account: str, holder: str) -> Result[list[str], PlatformFailure]:
-        """Read which earlier runs of the holder's instance have open rows."""
+        """Return the earlier runs of the holder's instance that have open rows."""
         raise NotImplementedError
 
     def release_runs(
         self, account: str, release: RunRelease
     ) -> Result[list[ReleasedRow], PlatformFailure]:
-        """Give back what earlier runs of an instance held and can't have used."""
+        """Free what earlier runs of an instance held and can't have used."""
         raise NotImplementedError
 
 
 class AccountWriter(TokenSource, AccountBackend):
-    """Draws from the platform; orders that arrive during a write share the next one.
+    """Applies orders in the store; orders that arrive during a write share the next one.
 
     Parameters
     ----------
     store : ObjectStore
-        Where the account objects are.
+        Stores the account objects.
     make_lock : callable
-        Makes a lock that waiting green threads queue on, one for each account.
+        Makes a lock that green threads can wait for; one is made for each account.
     before_write : callable, optional
-        Called with the `OrderBatch` before each write; orders that arrive while it pauses
-        share the write.
+        Called with the `OrderBatch` before each write. Orders that arrive until it returns share
+        the write.
     clock : callable, optional
-        The steady clock, replaced in tests.
+        Monotonic clock, replaced in tests.
 
     Notes
     -----
-    A wrong choice of drawer costs a conflict and a second write, never safety: the
-    write is conditional whoever makes it.
+    If several writers serve the same account, this costs conflicts and repeated writes but never
+    safety, since every write is conditional.
     """
 
     def __init__(
@@ -119,9 +119,9 @@
         self.make_lock = make_lock
         self.before_write = before_write
         self.clock = clock
-        # The latest books of an account that this writer has written or read.
+        # Latest state of each account that this writer has written or read.
         self._latest: dict[str, BudgetAccount] = {}
-        # Since when books are held, as far as this writer knows.
+        # When this writer first saw that draws on an account are suspended.
         self._held_since: dict[str, float] = {}
         self._editor = ObjectEditor(store, ACCOUNT_KIND, BudgetAccount, **editor_options)
         self._locks: dict[str, object] = {}
@@ -134,19 +134,19 @@
     def draw_for_holder(
         self, orders: list[DrawOrder]
     ) -> Result[dict[str, DrawResult], PlatformFailure]:
-        """Apply one holder's orders for one account; returns the state of all budgets."""
+        """Apply one holder's orders for one account; return the state of all its budgets."""
         holder = orders[0].holder
         return self.draw_many(orders).map(
             lambda account: results_for_holder(account, holder, orders)
         )
 
     def draw_many(self, orders: list[DrawOrder]) -> Result[BudgetAccount, PlatformFailure]:
-        """Apply orders for one account, with the others that wait for it.
+        """Apply orders for one account, together with the others that wait for it.
 
         Returns
         -------
         BudgetAccount
-            All state of the account after the write.
+            The whole account after the write.
         """
         account = orders[0].account
         batch = self._batches.setdefault(account, OrderBatch())
@@ -154,7 +154,7 @@
         return self._write(account, batch)
 
     def find_earlier_runs(self, account: str, holder: str) -> Result[list[str], PlatformFailure]:
-        """Read which earlier runs of the holder's instance have open rows."""
+        """Return the earlier runs of the holder's instance that have open rows."""
         result = self._editor.read(account)
         result.map(lambda value: self._update_latest(account, value))
         if isinstance(result, Failure) and isinstance(result.failure(), NotFound):
@@ -164,13 +164,13 @@
     def release_runs(
         self, account: str, release: RunRelease
     ) -> Result[list[ReleasedRow], PlatformFailure]:
-        """Give back what earlier runs of an instance held and can't have used."""
+        """Free what earlier runs of an instance held and can't have used."""
         batch = self._batches.setdefault(account, OrderBatch())
         batch.releases.append(release)
         return self._write(account, batch).map(lambda _: batch.released[release.holder])
 
     def _write(self, account: str, batch: OrderBatch) -> Result[BudgetAccount, PlatformFailure]:
-        """Write a batch unless another of its orders has done so; returns the books."""
+        """Write a batch unless another of its orders has already done so; return the account."""
         lock = self._locks.setdefault(account, self.make_lock())
         with lock:
             if batch.result is None:
@@ -190,7 +190,7 @@
     def _apply_batch(
         self, account: str, batch: OrderBatch, state: BudgetAccount | None
     ) -> BudgetAccount | None:
-        """Return the books after a batch, None where nothing is left to do."""
+        """Return the account after a batch, None if nothing changed."""
         state = self._recover(account, state)
         changed = batch.apply(state)
         if changed is not None:
@@ -199,7 +199,7 @@
         return changed
 
     def _recover(self, account: str, state: BudgetAccount | None) -> BudgetAccount | None:
-        """Return books to go on with, whatever the store lost of them."""
+        """Return the account to continue with, recovered if the store lost writes to it."""
         era, now = self.store.era.current, self.clock()
         latest = self._latest.get(account)
         is_lost = state is None and latest is not None
--- a/whinrack/budgets/_budget_manager.py
+++ b/whinrack/budgets/_budget_manager.py
@@ -1,4 +1,4 @@
-"""Covers requests: from what is here, then the books, then the peers."""
+"""Covers for requests: from tokens held here, then from the account, then from peers."""
 
 import time
 from collections.abc import Callable, Iterable
@@ -27,20 +27,20 @@
 
 
 class TokenSource:
-    """Where orders go: the platform, or a peer that draws for its region."""
+    """Executor of orders: the platform, or a peer that draws for its region."""
 
     def draw(self, order: DrawOrder) -> Result[DrawResult, WhinrackError]:
-        """Apply an order and return the books' state."""
+        """Apply an order and return the state of the budget."""
         raise NotImplementedError
 
 
 class TransferTotal(NamedTuple):
-    """A peer's cumulative total of tokens that it gave to this incarnation.
+    """Cumulative total of tokens that a peer gave to this incarnation.
 
     Attributes
     ----------
-    covering : int
-        Tokens that the peer holds, as the books see it, but that requests use up there.
+    unreported_use : int
+        Tokens that the account counts as holding by the peer but that are reserved or used there.
     """
 
     giver: str
@@ -49,50 +49,50 @@
 
 
 class SpareTokenSource:
-    """The peers that may hold unspent tokens."""
+    """Peers that may hold unspent tokens."""
 
     def request_from_peers(
         self, budget: str, need: int, wish: int, received: dict[str, int]
     ) -> Iterable[TransferTotal]:
-        """Ask peers for tokens and yield what each has given in all."""
+        """Ask peers for tokens and yield the total that each has given so far."""
         raise NotImplementedError
 
     def peer_count(self) -> int:
-        """Return how many peers `gather` asks now."""
+        """Return the number of peers that `request_from_peers` asks now."""
         raise NotImplementedError
 
     def request_peer_draw(
         self, budget: str, need: int, wish: int, received: dict[str, int]
     ) -> Iterable[TransferTotal]:
-        """Ask a peer that reaches the books to draw for this run."""
+        """Ask a peer that can reach the account to draw for this run."""
         raise NotImplementedError
 
     def is_supplier(self, budget: str) -> bool:
-        """Whether this run draws a budget ahead for its peers too; by default for itself."""
+        """Return whether this run draws the budget ahead; by default only for itself."""
         return True
 
     def supplier(self, budget: str) -> str:
-        """Return the instance that draws a budget ahead, empty for this one; for logs."""
+        """Return the instance that draws the budget ahead, "" for this one; used in logs."""
         return ""
 
     def request_from_supplier(
         self, budget: str, need: int, wish: int, received: dict[str, int]
     ) -> Iterable[TransferTotal]:
-        """Ask the peer that draws a budget ahead for all."""
+        """Ask the peer that draws the budget ahead for all instances."""
         return ()
 
 
 class _Holding:
-    """One budget's state in the keeper."""
+    """State of one budget in the manager."""
 
     def __init__(self, ledger: BudgetLedger, lock: AbstractContextManager):
         self.ledger = ledger
         self.lock = lock
         self.demand = DemandEstimate()
-        # Until then the books aren't asked, since they had nothing free.
+        # No draw is tried until then, since the account had nothing free.
         self.no_free_until = 0.0
         self.no_free_backoff = _MIN_NO_FREE_BACKOFF
-        # Until then the peers aren't asked, since they had nothing either.
+        # The peers aren't asked until then, since they had nothing either.
         self.no_spare_until = 0.0
         self.last_report_at = 0.0
         self.last_draw_ahead_at = float("-inf")
@@ -100,7 +100,7 @@
 
 
 class BudgetManager:
-    """All budgets that this incarnation holds tokens of.
+    """Manages the tokens of paid budgets that this incarnation holds.
 
     Parameters
     ----------
@@ -108,17 +108,17 @@
         This incarnation.
     source : TokenSource
         Applies draw orders.
-    spares : SpareSource
-        Asked when the books have nothing free.
+    spares : SpareTokenSource
+        Asked when the account has no free tokens.
     report_after : float
-        Seconds for which settled amounts may stay unreported. They are safe meanwhile:
-        the books count them as outstanding, and the bills are in the journal.
+        Seconds for which settled amounts may stay unreported. They are not lost meanwhile: the
+        account counts them as outstanding, and the bills are in the journal.
     horizon : float
-        Seconds of demand that a draw should last for; how long the platform may be
-        away without requests being refused.
+        Seconds of demand that a draw should cover, which is how long the platform may be
+        unreachable without requests being refused.
     gather_wait : float
-        Seconds that a workspace which weighs false refusals more waits at the end of
-        a budget for tokens that other requests give back.
+        Seconds that a request of a workspace with the weighting `FALSE_REFUSALS` waits, when a
+        budget is nearly used up, for tokens that other requests release.
     clock, sleep, make_lock : callable, optional
         Replaced in tests.
     """
@@ -146,13 +146,13 @@
         self.make_lock = make_lock
         self.is_stopping = False
         self._holdings: dict[str, _Holding] = {}
-        # Those with something to report, to draw ahead or to return.
+        # Budgets that have something to report, to draw ahead or to return.
         self._active: dict[str, _Holding] = {}
 
     def cover(
         self, account: str, budget: str, tokens: int, weighting: Weighting
     ) -> Result[Cover, Refusal]:
-        """Set tokens aside for one request, drawing more where that is needed."""
+        """Reserve tokens for one request, drawing more if needed."""
         holding = self._holding(account, budget)
         holding.demand.record(tokens, self.clock())
         cover = holding.ledger.open(tokens)
@@ -172,9 +172,9 @@
     def give(
         self, budget: str, receiver: str, already_received: int, need: int, wish: int = 0
     ) -> int:
-        """Hand tokens to a peer that ran out; returns the cumulative total.
+        """Give tokens to a peer that ran out; return the cumulative total.
 
-        What is settled here is reported soon, so that the peer learns what is left.
+        The amounts settled here are reported soon, so that the peer learns what is left.
         """
         holding = self._holdings.get(budget)
         if holding is None:
@@ -184,12 +184,18 @@
         return holding.ledger.give(receiver, already_received, need, wish)
 
     def report(self, include_idle: bool = False) -> int:
-        """Report settled amounts, draw ahead and return surplus.
+        """Report settled amounts, draw ahead and return surplus tokens.
+
+        Parameters
+        ----------
+        include_idle : bool
+            Also report budgets that have nothing new to report.
+
 
         Returns
         -------
         int
-            Orders that failed; they are sent again with the next report.
+            Number of orders that failed; they are sent again with the next report.
         """
         if include_idle:
             self._active.update(self._holdings)
@@ -198,7 +204,7 @@
         )
 
     def drain(self) -> bool:
-        """Give everything back for a planned stop; True once the books know it."""
+        """Return all tokens for a planned stop; return True once the accounts have them."""
         self.is_stopping = True
         drained = [self._drain_one(holding) for holding in list(self._holdings.values())]
         return all(drained)
@@ -246,7 +252,7 @@
         return True
 
     def _update_no_free_backoff(self, holding: _Holding) -> None:
-        """Ask books that have nothing free more and more rarely."""
+        """Double the time until the next draw, up to a maximum, while nothing is free."""
         if holding.last_result.free > 0:
             holding.no_free_until = 0.0
             holding.no_free_backoff = _MIN_NO_FREE_BACKOFF
@@ -295,7 +301,7 @@
         return holding.demand.expected_tokens(self.clock(), self.horizon)
 
     def _is_idle(self, holding: _Holding) -> bool:
-        """Whether nothing is left to do for a budget until it is used again."""
+        """Return whether nothing is left to do for a budget until it is used again."""
         ledger = holding.ledger
         empty = ledger.spendable == 0 and ledger.open_cover == 0
         return empty and not ledger.has_unreported_totals and not self._wanted_tokens(holding)
--- a/whinrack/budgets/_covers.py
+++ b/whinrack/budgets/_covers.py
@@ -1,4 +1,4 @@
-"""Covers requests from a grant, and fills the grant up from the books and the peers."""
+"""Covers for requests from a grant, refilled from the account and from peers."""
 
 from collections.abc import Callable
 
@@ -13,20 +13,21 @@
 
 __all__ = ["CoverAllocator"]
 
-# For so long the books that had nothing free aren't asked again.
+# No draw is tried for this long after the account had no free tokens.
 _NO_FREE_SECONDS = 1.3
 
 
 class CoverAllocator:
-    """Sets tokens of grants aside for requests and peers.
+    """Reserves tokens of grants for requests and makes tokens usable for peers.
 
     Parameters
     ----------
-    orders : BookOrders
-    spares : SpareSource
-        Asked when the books have nothing free or can't be reached.
+    orders : GrantOrders
+    spares : SpareTokenSource
+        Asked when the account has no free tokens or the store is unreachable.
     options : GrantOptions
     clock : callable
+        Reads the monotonic clock, in seconds.
     """
 
     def __init__(
@@ -43,18 +44,18 @@
         self.peers = PeerTokenClient(spares, options, clock)
 
     def cover(self, grant: Grant, tokens: int) -> Result[Cover, Refusal]:
-        """Set tokens aside for one request: from here, from the books, from peers."""
+        """Reserve tokens for one request: held here, from the account, or from peers."""
         grant.largest_request = max(grant.largest_request, tokens)
         cover = self._open_cover(grant, tokens)
         if isinstance(cover, Failure):
             cover = self._wait_and_refill(grant, tokens)
         if isinstance(cover, Success):
-            # Refused requests come again, so they would count more than once.
+            # Refused requests are retried, so counting them would count their demand repeatedly.
             grant.demand.record(tokens, self.clock())
         return cover
 
     def ensure_usable(self, grant: Grant, tokens: int, draw: bool) -> None:
-        """State in the books what a peer is to get, together with others that wait."""
+        """Make tokens usable for a peer by an order, together with those of waiting requests."""
         if not self.orders.is_store_reachable or not self._needs_draw(grant, tokens, draw):
             return
         if self._has_no_free_tokens(grant) and grant.ledger.spendable < tokens:
@@ -68,14 +69,14 @@
         if tokens > usable:
             return Failure(
                 BudgetContended(
-                    f"{tokens} tokens are to be covered, {usable} are usable here",
+                    f"the request needs cover for {tokens} tokens, {usable} are usable here",
                     retry_after=self._retry_after(),
                 )
             )
         return grant.ledger.open(tokens)
 
     def _retry_after(self) -> float:
-        """Seconds after which tokens may be had: soon, or when the books may be back."""
+        """Return the seconds after which to retry, longer while the store is unreachable."""
         options = self.options
         return (
             options.retry_after
@@ -84,11 +85,11 @@
         )
 
     def _wait_and_refill(self, grant: Grant, tokens: int) -> Result[Cover, Refusal]:
-        """Wait for requests that came before; what they brought may suffice for this one.
+        """Wait for earlier requests, whose refill may suffice for this one, then refill.
 
-        A round of questions for as much that started_at after this request came, and failed, was
-        made for it too. Without that, 70 requests a second for one short budget queued for up
-        to 5 seconds before they were refused one by one.
+        A refill for as many tokens or fewer that started after this request arrived and failed
+        was made on its behalf, too. Without this rule, 70 requests per second for one short
+        budget queued for up to 5 seconds before they were refused one by one.
         """
         arrived = self.clock()
         with grant.locked(tokens):
@@ -118,13 +119,13 @@
     def _refusal(
         self, grant: Grant, tokens: int, contended: Result[Cover, Refusal]
     ) -> Result[Cover, Refusal]:
-        """Tell whether the budget is exhausted, or its tokens are held elsewhere."""
+        """Return the failure that tells whether the budget is exhausted or contended."""
         if self._is_exhausted(grant, tokens):
             return Failure(BudgetExhausted(_left_text(grant, tokens)))
         return contended
 
     def _refill_steps(self, grant: Grant, tokens: int) -> tuple[Callable[[Grant, int], None], ...]:
-        """Return what to try for more tokens, in order."""
+        """Return the functions that obtain more tokens, in the order in which to call them."""
         if grant.has_recent_shortage(tokens, self.clock(), self.options.shortage_seconds):
             return ()
         supplied = not self.spares.is_supplier(grant.ledger.budget)
@@ -137,20 +138,20 @@
         return *first, self._draw, peers.request_from_peers
 
     def _has_no_free_tokens(self, grant: Grant) -> bool:
-        """Whether the books said a moment ago that nothing is free."""
+        """Return whether the account recently had no free tokens."""
         fresh = self.clock() - grant.last_result_at < _NO_FREE_SECONDS
         return fresh and grant.last_result is not None and grant.last_result.free <= 0
 
     def _is_exhausted(self, grant: Grant, tokens: int) -> bool:
-        """Whether the budget can't cover a request beside those that run now.
+        """Return whether the budget can't cover a request besides those that run now.
 
-        What was left when the books answered last is an upper bound until the limit is
-        raised, however long ago that was.
+        The unspent tokens in the last known state are an upper bound until the limit is raised,
+        however old that state is.
         """
         return self.orders.is_limit_stored(grant) and tokens > grant.unspent_bound()
 
     def _needs_draw(self, grant: Grant, tokens: int, draw: bool) -> bool:
-        """Whether a peer can't get tokens before the books know of it."""
+        """Return whether an order is needed before tokens can be given to a peer."""
         if grant.usable(self.clock()) >= tokens:
             return False
         return draw or grant.ledger.spendable >= tokens
@@ -158,8 +159,8 @@
     def _draw(self, grant: Grant, tokens: int) -> None:
         if grant.ledger.is_closed:
             return
-        # A request doesn't wait for an order that a silent store holds up; peers may
-        # have what it needs. The order's outcome is learnt whenever it comes.
+        # A request doesn't wait long for an order while the store is silent, since peers may have
+        # the tokens. The result of the order is applied whenever it arrives.
         order = self.orders.make_order(grant, need=tokens)
         self.orders.send([order], self.options.draw_timeout)
 
--- a/whinrack/budgets/_demand.py
+++ b/whinrack/budgets/_demand.py
@@ -1,24 +1,24 @@
-"""How fast a budget is spent here, and how many tokens to hold for that."""
+"""Estimate of the rate at which a budget is spent and of the tokens to hold for it."""
 
 import math
 
 __all__ = ["DemandEstimate"]
 
-# A rate is worked out from so many seconds at least: the first requests alone tell little.
+# Shortest period that a rate is computed from: the first requests alone tell little.
 _MIN_OBSERVED_SECONDS = 2.0
-# Standard deviations beyond the mean for which tokens are held. With the mean alone a budget that
-# is seldom used held three requests' tokens when an outage of 8 s began, while the books had
+# Standard deviations above the mean for which tokens are held. With the mean alone, a seldom used
+# budget held the tokens of three requests when an outage of 8 s began, although its account had
 # twenty times as much free.
 _STANDARD_DEVIATIONS = 2.0
 
 
 class DemandEstimate:
-    """Exponentially weighted rate of tokens a second.
+    """Exponentially weighted rate of tokens per second.
 
     Parameters
     ----------
     half_life : float
-        Seconds after which a past request weighs half.
+        Seconds after which the weight of a past request is halved.
     """
 
     def __init__(self, half_life: float = 30.0):
@@ -28,7 +28,7 @@
         self._first_at: float | None = None
 
     def record(self, tokens: int, now: float) -> None:
-        """Count the tokens of one request."""
+        """Add the tokens of one request."""
         self._decay(now)
         if self._first_at is None:
             self._first_at = now
@@ -39,19 +39,20 @@
         return 0.0 if self._first_at is None else now - self._first_at
 
     def rate(self, now: float) -> float:
-        """Return the tokens a second."""
+        """Return the rate in tokens per second."""
         self._decay(now)
         if self._first_at is None:
             return 0.0
-        # A young estimate has not seen a full period yet.
+        # Corrects for the part of the exponential window before the first request.
         seen = 1.0 - 0.5 ** (max(_MIN_OBSERVED_SECONDS, now - self._first_at) / self.half_life)
         return self._weighted_tokens * math.log(2) / self.half_life / seen
 
     def upper_bound(self, now: float, horizon: float, largest: int) -> int:
-        """Return tokens that suffice for a time in nearly all cases, not just on average.
+        """Return a number of tokens that suffices for `horizon` seconds in nearly all cases.
 
-        Requests come by chance: where a few are expected, twice as many may come. Their sum is
-        spread by the square root of its mean times the tokens of a large request.
+        Arrivals are random: where a few requests are expected, twice as many may come. The
+        standard deviation of their sum is taken as the square root of its mean times the tokens
+        of a large request.
 
         Parameters
         ----------
@@ -62,7 +63,7 @@
         return int(mean + _STANDARD_DEVIATIONS * math.sqrt(mean * largest))
 
     def expected_tokens(self, now: float, horizon: float) -> int:
-        """Return the tokens that last for `horizon` seconds at the present rate."""
+        """Return the tokens expected to be used in `horizon` seconds at the current rate."""
         return int(self.rate(now) * horizon)
 
     def _decay(self, now: float) -> None:
--- a/whinrack/budgets/_draw_results.py
+++ b/whinrack/budgets/_draw_results.py
@@ -1,4 +1,4 @@
-"""What the books say to a holder."""
+"""State of accounts as reported to holders."""
 
 import msgspec
 
@@ -10,7 +10,7 @@
 
 
 def holder_result(account: BudgetAccount | None, budget: str, holder: str) -> DrawResult:
-    """Read what the books say of a budget, and of what a holder has of it."""
+    """Return the state of a budget and of a holder's share of it."""
     entry = account.budgets.get(budget) if account is not None else None
     if entry is None:
         return DrawResult(era=account.era if account is not None else None)
@@ -31,7 +31,7 @@
 
 
 def draw_result(account: BudgetAccount | None, order: DrawOrder) -> DrawResult:
-    """Read what the books say to the holder of an order."""
+    """Return the state of the budget of an order, for the holder that sent it."""
     result = holder_result(account, order.budget, order.holder)
     if account is None or order.opening or order.budget not in account.budgets:
         return result
@@ -43,7 +43,7 @@
 def results_for_holder(
     account: BudgetAccount | None, holder: str, orders: list[DrawOrder]
 ) -> dict[str, DrawResult]:
-    """Read the state of every budget for a holder, after its orders were applied."""
+    """Return the state of every budget for a holder, after its orders were applied."""
     names = account.budgets if account is not None else ()
     results = {name: holder_result(account, name, holder) for name in names}
     results.update({order.budget: draw_result(account, order) for order in orders})
--- a/whinrack/budgets/_grant_manager.py
+++ b/whinrack/budgets/_grant_manager.py
@@ -1,10 +1,9 @@
-"""Keeps short grants of declared budgets: drawn ahead, reported often, found again.
+"""Short grants of declared budgets: drawn ahead, reported often and recovered after a crash.
 
-`BudgetKeeper` serves budgets that are paid in and grants that last for minutes. This
-keeper serves budgets whose limit the configuration declares, on machines that keep
-nothing: a grant lasts for some seconds of demand, long enough for an outage of the
-store, and its holder states a `ReleaseSchedule`, so that what a killed run did not use
-comes back with the next run.
+`BudgetManager` serves paid budgets with grants that last for minutes. This manager serves budgets
+whose limit the configuration declares, on machines without persistent state. A grant lasts for
+some seconds of demand, long enough for an outage of the store. Its holder declares a
+`ReleaseSchedule`, so that the next run can recover what a killed run did not use.
 """
 
 from collections.abc import Callable, Iterator
@@ -32,7 +31,7 @@
 
 
 class GivenTotal(NamedTuple):
-    """Cumulative tokens of a budget that this run gave to another."""
+    """Cumulative tokens of a budget that this run gave to another one."""
 
     budget: str
     receiver: str
@@ -40,26 +39,26 @@
 
 
 class GrantManager:
-    """All grants of one run of an instance.
+    """Manages all grants of one run of an instance.
 
     Parameters
     ----------
     holder : str
-        This run.
+        Incarnation of this run.
     account : str
-        The object that holds the books.
-    backend : BookSource
-        Applies orders to the books, and gives back what earlier runs held.
-    spares : SpareSource
-        Asked when the books have nothing free or can't be reached.
+        Name of the account object.
+    backend : AccountBackend
+        Applies orders to the account and recovers what earlier runs held.
+    spares : SpareTokenSource
+        Asked when the account has no free tokens or the store is unreachable.
     options : GrantOptions
     clock, make_lock : callable, optional
         Replaced in tests.
     wall_clock : callable, optional
-        Reads the time of day, and tells whether it was checked.
+        Reads the time of day and tells whether it was verified.
     isolate : callable, optional
-        Runs a function to its end even if its caller is given up, and returns what it
-        returns; None if that takes longer than the given seconds, None for any time.
+        Runs a function to completion even if its caller is cancelled. Returns its result, or None
+        if that takes longer than the given seconds; None as seconds means no limit.
     """
 
     def __init__(
@@ -81,7 +80,7 @@
         self.options = options
         self.clock = clock
         self.make_lock = make_lock
-        # Set once the peers are known, so that not every instance draws everything ahead.
+        # Set once the peers are known, so that not every instance draws all budgets ahead.
         self.can_draw_ahead = False
         self._grants: dict[str, Grant] = {}
         self._orders = GrantOrders(
@@ -91,24 +90,24 @@
 
     @property
     def is_store_reachable(self) -> bool:
-        """Whether the books can be reached, as far as is known."""
+        """Whether the store can be reached, as far as is known."""
         return self._orders.is_store_reachable
 
     @property
     def last_answer_at(self) -> float:
-        """When the books answered last, by the steady clock."""
+        """Monotonic time when the store last answered an order."""
         return self._orders.last_answer_at
 
     def set_limits(self, version: int, limits: dict[str, int]) -> None:
-        """Take in the limits of a newer version of the configuration."""
+        """Apply the limits of a newer version of the configuration."""
         self._orders.set_limits(version, limits)
 
     def has_limit(self, budget: str) -> bool:
-        """Whether the configuration states a limit for a budget."""
+        """Return whether the configuration declares a limit for a budget."""
         return self._orders.has_limit(budget)
 
     def cover(self, budget: str, tokens: int) -> Result[Cover, Refusal]:
-        """Set tokens aside for one request: from here, from the books, from peers."""
+        """Reserve tokens for one request: held here, from the account, or from peers."""
         return self._covers.cover(self._grant(budget), tokens)
 
     def give(
@@ -120,17 +119,17 @@
         wish: int,
         draw: bool = False,
     ) -> int:
-        """Hand tokens to a peer that ran out; returns the cumulative total.
+        """Give tokens to a peer that ran out; return the cumulative total.
 
         Parameters
         ----------
         draw : bool
-            Draw from the books first what isn't here.
+            Whether to draw missing tokens from the account first.
 
         Notes
         -----
-        May block: what the schedule in the books doesn't release has to be stated there
-        before it is handed on.
+        May block: tokens that the stored schedule doesn't release must be covered by a new
+        schedule in the account before they are given away.
         """
         grant = self._grants.get(budget)
         if grant is None:
@@ -145,12 +144,12 @@
     def give_as_supplier(
         self, budget: str, receiver: str, already_received: int, need: int, wish: int
     ) -> int:
-        """Hand tokens to a peer that this run draws a budget ahead for; never blocks.
+        """Give tokens to a peer that this run draws a budget ahead for; never block.
 
         Returns
         -------
         int
-            The cumulative total; unchanged where what may be used at once doesn't suffice.
+            Cumulative total, unchanged if the usable tokens don't meet the need.
         """
         if not self.has_limit(budget):
             return 0
@@ -162,34 +161,34 @@
             return before
         total = grant.ledger.give(receiver, already_received, need, wish, usable)
         grant.last_lent_at = now
-        # What is used elsewhere is demand here: it is drawn ahead for all.
+        # Use by peers counts as demand here, because this run draws ahead for all of them.
         grant.demand.record(total - before, now)
         return total
 
     def draw_for_peer(self, budget: str, need: int) -> None:
-        """Draw at once where a peer's need would not be met from here; may block."""
+        """Draw immediately if a peer's need could not be met from here; may block."""
         grant = self._grants.get(budget)
         if grant is not None:
             self._covers.ensure_usable(grant, need, draw=True)
 
     def draw_ahead(self) -> None:
-        """Draw the budgets that this run supplies before anybody asks for them."""
+        """Draw the budgets that this run supplies before they are requested."""
         for budget in self._orders.limited_budgets():
             if self.spares.is_supplier(budget):
                 self._grant(budget)
 
     def receive(self, budget: str, giver: str, total: int) -> None:
-        """Take in what a peer has given in all, also when nobody waits for it any more."""
+        """Record the total that a peer has given, also if no request waits for it any more."""
         self._grant(budget).ledger.receive(giver, total)
 
     def given_totals(self) -> Iterator[GivenTotal]:
-        """Yield what was given to peers, for telling them again before a stop."""
+        """Yield the totals given to peers, which are told to them again before a stop."""
         for budget, grant in self._grants.items():
             for receiver, total in grant.ledger.given.items():
                 yield GivenTotal(budget, receiver, total)
 
     def renew(self) -> Result[None, PlatformFailure]:
-        """Report what was used, draw ahead and state new schedules, all in one write."""
+        """Report use, draw ahead and renew schedules, all in one write."""
         if self.can_draw_ahead:
             self.draw_ahead()
         due = [grant for grant in self._grants.values() if self._orders.is_due(grant)]
@@ -198,15 +197,15 @@
         return self._orders.send([self._orders.make_order(grant) for grant in due])
 
     def handle_store_restored(self, era: int) -> None:
-        """Learn that the store came back from a copy; the next round states all grants again."""
+        """Record that the store was restored; the next round reports all grants again."""
         self._orders.handle_store_restored(era)
 
     def handle_store_reachable(self) -> None:
-        """Learn from others' calls that the books can be reached again."""
+        """Record that other calls show the store to be reachable again."""
         self._orders.handle_store_reachable()
 
     def drain(self, final: bool) -> Result[None, PlatformFailure]:
-        """Give everything unused back for a planned stop.
+        """Return everything unused for a planned stop.
 
         Parameters
         ----------
@@ -222,14 +221,14 @@
             if final:
                 ledger.write_off_open()
             orders.append(self._orders.make_order(grant, final=final))
-            # From here on nothing is used, given or drawn any more.
+            # From here on nothing is used, given or drawn.
             ledger.is_closed = final
         return self._orders.send(orders) if orders else Success(None)
 
     def release_earlier_runs(
         self, restart: RestartTime
     ) -> Result[list[ReleasedRow], PlatformFailure]:
-        """Give back what earlier runs of this instance held and can't have used."""
+        """Recover what earlier runs of this instance held and can't have used."""
         ended = self.backend.find_earlier_runs(self.account, self.holder)
         if isinstance(ended, Failure):
             return ended
@@ -240,7 +239,7 @@
         )
 
     def summary(self) -> str:
-        """Return what is known of every budget, for the log."""
+        """Return the known state of every budget as text, for the log."""
         now = self.clock()
         return " ".join(
             f"{name}:{grant.ledger.spendable}/{max(0, grant.usable(now))}"
@@ -252,26 +251,26 @@
         )
 
     def spendable(self) -> dict[str, int]:
-        """Return the unspent tokens here, by budget."""
+        """Return the spendable tokens held here, by budget."""
         return {name: grant.ledger.spendable for name, grant in self._grants.items()}
 
     @property
     def has_spendable_tokens(self) -> bool:
-        """Whether a peer may have tokens from here."""
+        """Whether a peer may obtain tokens from here."""
         return any(grant.ledger.spendable > 0 for grant in self._grants.values())
 
     def unreported_use(self, budget: str) -> int:
-        """Return the tokens of a budget that requests use up here, unknown to the books."""
+        """Return the tokens of a budget that are reserved or used here but not yet reported."""
         grant = self._grants.get(budget)
         return grant.ledger.unreported_use if grant is not None else 0
 
     def last_result(self, budget: str) -> DrawResult | None:
-        """Return the books' state when they answered last, for logs."""
+        """Return the last known state of a budget, for logs."""
         grant = self._grants.get(budget)
         return grant.last_result if grant is not None else None
 
     def supplier(self, budget: str) -> str:
-        """Return the instance that draws a budget ahead, empty for this one; for logs."""
+        """Return the instance that draws a budget ahead, "" for this one; used in logs."""
         return self.spares.supplier(budget)
 
     def _grant(self, budget: str) -> Grant:
--- a/whinrack/budgets/_ledger.py
+++ b/whinrack/budgets/_ledger.py
@@ -1,4 +1,4 @@
-"""What this incarnation holds of one budget, and what it may spend of it."""
+"""Tokens of one budget that this incarnation holds, and what it may spend of them."""
 
 from returns.result import Failure, Result, Success
 
@@ -9,14 +9,14 @@
 
 
 class Cover:
-    """Tokens set aside for one request until it is settled.
+    """Tokens reserved for one request until it is settled.
 
     Parameters
     ----------
     ledger : BudgetLedger
-        Where the tokens come from.
+        Ledger that the tokens are taken from.
     tokens : int
-        An upper bound on what the request can use.
+        Upper bound on the tokens that the request can use.
     """
 
     def __init__(self, ledger: "BudgetLedger", tokens: int):
@@ -25,14 +25,14 @@
         self.is_settled = False
 
     def settle(self, billed: int, unproven: int = 0) -> bool:
-        """Give back what wasn't used; only the first call counts.
+        """Release the unused tokens; only the first call has an effect.
 
         Parameters
         ----------
         billed : int
-            Tokens on the request's bill.
+            Tokens on the bill of the request.
         unproven : int
-            Tokens that may have been used though no bill can say so.
+            Tokens that may have been used although no bill can show it.
 
         Returns
         -------
@@ -47,32 +47,32 @@
 
 
 class BudgetLedger:
-    """Spendable tokens of one budget at one incarnation. Decisions only, no I/O.
+    """Accounting of one budget at one incarnation, without any I/O.
 
     Parameters
     ----------
     account, budget, holder : str
-        Where the tokens are kept in the platform, and who holds them.
+        Account object and budget that the tokens belong to, and the incarnation that holds them.
     """
 
     def __init__(self, account: str, budget: str, holder: str):
         self.account = account
         self.budget = budget
         self.holder = holder
-        # Cumulative tokens, as in AccountRow.
+        # Cumulative tokens, as in `AccountRow`.
         self.drawn = 0
         self.received: dict[str, int] = {}
         self.given: dict[str, int] = {}
         self.returned = 0
         self.billed = 0
         self.unproven = 0
-        # Learnt at run time.
+        # State of this run.
         self.open_cover = 0
         self.sequence = 0
         self.is_closed = False
         self._is_open_cover_written_off = False
         self._reported_totals: tuple | None = None
-        # Of the books that an order was applied to last, and what was taken by them.
+        # Account that an order was last applied to, and the tokens that were not free in it.
         self.era: int | None = None
         self.edition = 0
         self.taken = 0
@@ -87,16 +87,18 @@
         return inflow - outflow - self.open_cover
 
     def open(self, tokens: int) -> Result[Cover, Refusal]:
-        """Set tokens aside for a request, all of them or none."""
+        """Reserve tokens for a request, all of them or none."""
         if tokens > self.spendable:
             return Failure(
-                BudgetContended(f"{tokens} tokens are to be covered, {self.spendable} are here")
+                BudgetContended(
+                    f"the request needs cover for {tokens} tokens, {self.spendable} are held here"
+                )
             )
         self.open_cover += tokens
         return Success(Cover(self, tokens))
 
     def close(self, cover: int, billed: int, unproven: int) -> None:
-        """End a cover; what is neither billed nor unproven can be spent again."""
+        """Close a cover; tokens that are neither billed nor unproven become spendable again."""
         if self._is_open_cover_written_off:
             return
         self.open_cover -= cover
@@ -104,32 +106,32 @@
         self.unproven += unproven
 
     def write_off_open(self) -> None:
-        """Count all open covers in full: their requests end with this run."""
+        """Count all open covers in full, because their requests end with this run."""
         self.unproven += self.open_cover
         self.open_cover = 0
         self._is_open_cover_written_off = True
 
     @property
     def used(self) -> int:
-        """Tokens that are gone from here or promised, less those that peers gave."""
+        """Tokens that are spent, reserved or given away, minus those received from peers."""
         gone = self.billed + self.unproven + self.open_cover + sum(self.given.values())
         return gone - sum(self.received.values())
 
     @property
     def unreported_use(self) -> int:
-        """Tokens that the books count as held here, but that requests use up."""
+        """Tokens that are reserved or used but that the account still counts as held here."""
         billed, unproven, *_ = self._reported_totals or (0, 0)
         return self.open_cover + self.billed - billed + self.unproven - unproven
 
     def next_order(
         self, need: int = 0, want: int = 0, final: bool = False, **statements
     ) -> DrawOrder:
-        """Make the next report and wish; each has a sequence of its own.
+        """Make the next order, with the current totals and a sequence number of its own.
 
         Parameters
         ----------
         **statements
-            `limit`, `limit_version` and `schedule` of the order.
+            `limit`, `limit_version`, `schedule` and `given` of the order.
         """
         self.sequence += 1
         return DrawOrder(
@@ -153,7 +155,7 @@
         )
 
     def apply_result(self, order: DrawOrder, result: DrawResult) -> None:
-        """Take in the books' state; an older state than the known one changes nothing."""
+        """Apply the state of the account after an order; an outdated state changes nothing."""
         self.drawn = max(self.drawn, result.drawn)
         if result.sequence >= order.sequence:
             self._reported_totals = _order_totals(order)
@@ -163,13 +165,13 @@
             self.is_closed = True
 
     def update_taken(self, result: DrawResult) -> None:
-        """Remember what is taken by books of the era in which this holder's row was stated."""
+        """Record `taken` if the account is of the era in which this holder last reported."""
         if result.era == self.era:
             self.edition, self.taken = result.edition, result.taken
 
     @property
     def has_unreported_totals(self) -> bool:
-        """Whether the books don't know the latest numbers yet."""
+        """Whether the account lacks the latest totals."""
         now = (self.billed, self.unproven, self.returned, dict(self.received))
         return now != (self._reported_totals or (0, 0, 0, {}))
 
@@ -181,12 +183,21 @@
         wish: int = 0,
         usable: int | None = None,
     ) -> int:
-        """Hand spendable tokens to a peer and return the cumulative total.
+        """Give spendable tokens to a peer.
 
-        What the peer needs is given if it is here, and of its wish as much as leaves
-        half of the tokens here. A total above `already_received` means that the last
-        reply was lost: it is repeated, and no more is given. `usable` lowers what may
-        be handed on.
+        The need is met if enough tokens are here. Of the wish, as much is given as leaves half
+        of the tokens here. If the total given so far exceeds `already_received`, the last reply
+        was lost: the total is repeated and nothing more is given.
+
+        Parameters
+        ----------
+        usable : int or None
+            Upper bound on the tokens that may be given, None for no bound but `spendable`.
+
+        Returns
+        -------
+        int
+            Cumulative tokens given to the peer.
         """
         here = self.spendable if usable is None else min(usable, self.spendable)
         total = self.given.get(receiver, 0)
@@ -198,12 +209,18 @@
         return total
 
     def receive(self, giver: str, total: int) -> None:
-        """Take in a peer's cumulative total."""
+        """Record the cumulative tokens received from a peer."""
         if total > self.received.get(giver, 0):
             self.received[giver] = total
 
     def return_tokens(self, tokens: int) -> int:
-        """Mark spendable tokens as returned; the next order reports them."""
+        """Mark spendable tokens as returned, to be reported with the next order.
+
+        Returns
+        -------
+        int
+            Tokens marked: at most `tokens` and at most what is spendable.
+        """
         tokens = max(0, min(tokens, self.spendable))
         self.returned += tokens
         return tokens
--- a/whinrack/budgets/_orders.py
+++ b/whinrack/budgets/_orders.py
@@ -1,4 +1,4 @@
-"""A run's orders to the books of declared budgets, and what their replies tell."""
+"""Orders of a run for the accounts of declared budgets, and the application of their results."""
 
 import time
 from collections.abc import Callable
@@ -13,42 +13,42 @@
 
 __all__ = ["GrantOrders", "call_directly", "unchecked_wall_clock"]
 
-# What is held beyond so many times the wanted tokens is given back.
+# Tokens held beyond this multiple of the wanted tokens are returned.
 _SURPLUS_FACTOR = 1.25
-# For so long after the store came back nothing is given back.
+# Nothing is returned for this long after the store was restored.
 _RESTORE_SECONDS = 5.0
 
 
 def unchecked_wall_clock() -> WallClockReading:
-    """Read the time of day of a machine without peers that could check it."""
+    """Read the time of day of a machine without peers that could verify it."""
     return WallClockReading(time.time())
 
 
 def call_directly(function: Callable, seconds: float | None) -> Result:
-    """Call a function to its end, whatever time it takes."""
+    """Call a function and return its result, however long it takes."""
     return function()
 
 
 class GrantOrders:
-    """Writes and sends orders for the grants of one run.
+    """Builds and sends orders for the grants of one run.
 
     Parameters
     ----------
     grants : dict of str to Grant
-        Those of the keeper, by budget.
-    backend : BookSource
+        Grants of the manager, by budget.
+    backend : AccountBackend
     options : GrantOptions
     clock, wall_clock, isolate : callable
-        See `GrantKeeper`.
+        See `GrantManager`.
     is_supplier : callable
-        Tells whether this run draws a budget ahead.
+        Returns whether this run draws a budget ahead.
 
     Attributes
     ----------
-    stopping : bool
-        Nothing is drawn ahead any more, and what isn't needed is given back.
-    answered_at : float
-        When the books answered last.
+    is_stopping : bool
+        Nothing is drawn ahead any more, and unneeded tokens are returned.
+    last_answer_at : float
+        When the store last answered an order.
     """
 
     def __init__(
@@ -75,22 +75,22 @@
         self._limits: dict[str, int] = {}
         self._limit_version = 0
         self._limit_changed_version: dict[str, int] = {}
-        # What the store lost is stated again in this era and for some seconds more.
+        # What the store lost is reported again in this era, for a few seconds.
         self._restored_era = 0
         self._restore_ends_at = float("-inf")
 
     def handle_store_restored(self, era: int) -> None:
-        """Learn that the store came back from a copy: the books may lack what is held here."""
+        """Record that the store was restored and may lack what is held here."""
         if era > self._restored_era:
             self._restored_era = era
             self._restore_ends_at = self.clock() + _RESTORE_SECONDS
 
     def _may_be_lost(self, grant: Grant) -> bool:
-        """Whether the books may lack what this run stated last of a grant."""
+        """Return whether the account may lack the last report of a grant."""
         return bool(grant.ledger.sequence) and (grant.ledger.era or 0) < self._restored_era
 
     def set_limits(self, version: int, limits: dict[str, int]) -> None:
-        """Take in the limits of a newer version of the configuration."""
+        """Apply the limits of a newer version of the configuration."""
         if version <= self._limit_version:
             return
         self._limit_version = version
@@ -100,20 +100,20 @@
         self._limits = dict(limits)
 
     def has_limit(self, budget: str) -> bool:
-        """Whether the configuration states a limit for a budget."""
+        """Return whether the configuration declares a limit for a budget."""
         return budget in self._limits
 
     def limited_budgets(self) -> list[str]:
-        """Return the budgets that the configuration states a limit for."""
+        """Return the budgets that the configuration declares a limit for."""
         return list(self._limits)
 
     def limit(self, budget: str) -> int:
-        """Return the limit that the configuration states for a budget, 0 for none."""
+        """Return the declared limit of a budget, 0 if there is none."""
         return self._limits.get(budget, 0)
 
     @property
     def is_store_reachable(self) -> bool:
-        """Whether the books can be reached, as far as is known."""
+        """Whether the store can be reached, as far as is known."""
         if self._is_unreachable:
             return False
         waiting_since = self._waiting_since
@@ -121,20 +121,20 @@
         return waited < self.options.store_timeout
 
     def handle_store_reachable(self) -> None:
-        """Learn from others' calls that the books can be reached again.
+        """Record that other calls show the store to be reachable again.
 
-        An order that still waits was sent before, maybe on a connection that is dead.
+        An order that is still waiting was sent earlier, possibly on a dead connection.
         """
         self._is_unreachable = False
         self._waiting_since = None
 
     def is_limit_stored(self, grant: Grant) -> bool:
-        """Whether the books, when they answered last, had the limit that is in force here."""
+        """Return whether the account last had the limit that is in force here."""
         changed_in = self._limit_changed_version.get(grant.ledger.budget, 0)
         return grant.last_result is not None and grant.last_result.limit_version >= changed_in
 
     def is_due(self, grant: Grant) -> bool:
-        """Whether the books should hear of a grant now."""
+        """Return whether an order should be sent for a grant now."""
         if grant.ledger.is_closed:
             return False
         if self.is_stopping and grant.ledger.spendable > 0:
@@ -147,27 +147,28 @@
             return True
         if self._excess(grant):
             return True
-        # A lender has nothing to report, and stated its schedule as seldom as an idle holder: when
-        # all lost power after an outage 0.130 of a large budget was out of use, 0.067 so.
+        # A lending run has nothing to report and would renew its schedule as rarely as an idle
+        # one. When all machines lost power after an outage, 0.130 of a large budget was then
+        # withdrawn from use, and 0.067 with this rule.
         if grant.is_lending(self.clock()):
             return True
         return grant.is_overdrawn() or grant.is_releasing_unused(self.clock())
 
     def _is_report_due(self, grant: Grant) -> bool:
-        """Whether use has to be told now; a run that another one supplies tells it later."""
+        """Return whether use has to be reported now; a supplied run reports less often."""
         if self.is_stopping or self.is_supplier(grant.ledger.budget):
             return True
         return self.clock() - grant.last_order_at >= self.options.report_interval
 
     def make_order(self, grant: Grant, need: int = 0, final: bool = False) -> DrawOrder:
-        """Report what was used, ask for more and state a schedule, which binds from now on."""
+        """Build an order with the current totals, and a schedule that binds from now on."""
         ledger = grant.ledger
         grant.last_order_at = self.clock()
         is_supplier = self.is_supplier(ledger.budget)
         if self.is_stopping:
             ledger.return_tokens(ledger.spendable - need)
         elif self.clock() < self._restore_ends_at:
-            # What came back meanwhile would look like what nobody states again.
+            # Tokens returned now could not be told from tokens that no holder reports again.
             pass
         elif grant.is_overdrawn():
             ledger.return_tokens(min(ledger.spendable, -grant.last_result.free))
@@ -175,7 +176,7 @@
             ledger.return_tokens(self._excess(grant) - need)
         want = self._wanted_tokens(grant) if is_supplier else grant.waiting_tokens
         if is_supplier and not need and self.clock() >= self._restore_ends_at:
-            # What was held while the demand was hardly known.
+            # Returns what was held while the demand was barely known.
             ledger.return_tokens(ledger.spendable - int(_SURPLUS_FACTOR * want))
         short = max(0, need - ledger.spendable)
         wish = max(0, want - ledger.spendable - short)
@@ -193,13 +194,13 @@
         return order
 
     def _excess(self, grant: Grant) -> int:
-        """Return the tokens that the supplier of the budget should have instead."""
+        """Return the tokens that should be with the supplier of the budget instead."""
         if self.is_supplier(grant.ledger.budget):
             return 0
         return grant.excess(self.options.supply_seconds, self.clock())
 
     def _wanted_tokens(self, grant: Grant) -> int:
-        """Return the tokens to hold: for some time, for one request more, and for who waits."""
+        """Return the tokens to hold: for demand ahead, one more request and those waiting."""
         now, options = self.clock(), self.options
         ahead = int(grant.demand.rate(now) * self._horizon(grant))
         if grant.seconds_left(now) > options.plentiful_seconds:
@@ -211,11 +212,11 @@
         )
 
     def _horizon(self, grant: Grant) -> float:
-        """Return the seconds of demand to hold: more while the demand is hardly known.
+        """Return the seconds of demand to hold, more while the demand is barely known.
 
-        A large budget came into use 5 s before an outage of 8 s, and its use grew threefold:
-        replayed (ten seeds), 0.58 of its tokens were served with the usual horizon, 0.91 with
-        this one.
+        A large budget came into use 5 s before an outage of 8 s, and its use tripled. In a replay
+        with ten seeds, 0.58 of its tokens were served with the usual horizon and 0.91 with this
+        one.
         """
         options, now = self.options, self.clock()
         if grant.demand.age(now) >= options.young_seconds:
@@ -224,16 +225,16 @@
         return max(options.horizon, held)
 
     def _opening_tokens(self, grant: Grant) -> int:
-        """Return the tokens to release at first, before any demand is known."""
+        """Return the tokens to release initially, before any demand is known."""
         if grant.demand.rate(self.clock()) > 0 or not self.is_supplier(grant.ledger.budget):
             return 0
         return int(self.limit(grant.ledger.budget) * self.options.opening_fraction)
 
     def _make_schedule(self, grant: Grant, need: int) -> ReleaseSchedule:
-        """State anew what may be used; unchanged while the books are out of reach.
+        """Return a new schedule, or the last one while the store is unreachable.
 
-        Every schedule that may reach the books binds: a new one would only take back
-        what the last one has released since.
+        Every schedule that may reach the account binds, so a new one would only revoke what the
+        last one has released since.
         """
         if grant.last_schedule is not None and self._is_unreachable:
             return grant.last_schedule
@@ -243,13 +244,17 @@
     def send(
         self, orders: list[DrawOrder], seconds: float | None = None
     ) -> Result[None, PlatformFailure]:
-        """Send orders and wait for the reply, for some seconds or for as long as it takes.
+        """Send orders and wait for the reply.
 
-        An order that is not waited for any longer runs to its end all the same.
+        Parameters
+        ----------
+        seconds : float or None
+            Time to wait, None for no limit. An order that is no longer waited for still runs to
+            completion.
         """
         result = self.isolate(lambda: self._send_blocking(orders), seconds)
         if result is None:
-            return Failure(PlatformUnavailable("the books have not answered yet"))
+            return Failure(PlatformUnavailable("the budget account has not answered yet"))
         return result
 
     def _send_blocking(self, orders: list[DrawOrder]) -> Result[None, PlatformFailure]:
@@ -267,7 +272,7 @@
     def _apply_results(
         self, orders: list[DrawOrder], results: dict[str, DrawResult], requested_at: float
     ) -> None:
-        """Take in the books: the orders' results, and the state of all other budgets."""
+        """Apply the results of the orders, and the state of all other budgets of the account."""
         for budget, grant in self.grants.items():
             if requested_at >= grant.last_result_at and budget in results:
                 grant.update(results[budget], requested_at)
--- a/whinrack/budgets/_peer_tokens.py
+++ b/whinrack/budgets/_peer_tokens.py
@@ -1,4 +1,4 @@
-"""Tokens that peers have: the supplier's, their spare ones, and loans from the books."""
+"""Requests for tokens that peers supply, can spare, or draw from the account."""
 
 from collections.abc import Callable
 
@@ -9,14 +9,14 @@
 
 
 class PeerTokenClient:
-    """Asks peers for tokens and takes in what they give.
+    """Asks peers for tokens and records what they give.
 
     Parameters
     ----------
-    spares : SpareSource
+    spares : SpareTokenSource
     options : GrantOptions
     clock : callable
-        Reads the steady clock, seconds.
+        Reads the monotonic clock, in seconds.
     """
 
     def __init__(self, spares: SpareTokenSource, options: GrantOptions, clock: Callable[[], float]):
@@ -25,7 +25,7 @@
         self.clock = clock
 
     def request_from_supplier(self, grant: Grant, tokens: int) -> None:
-        """Ask the peer that draws this budget ahead for what is needed, and a little more."""
+        """Ask the peer that draws this budget ahead for the need and a little more."""
         wish = self._demand_tokens(grant, self.options.supply_seconds) + grant.waiting_tokens
         budget, received = grant.ledger.budget, dict(grant.ledger.received)
         need = self._missing_tokens(grant, tokens)
@@ -34,7 +34,7 @@
             grant.unreported_use_by_peer[spare.giver] = spare.unreported_use
 
     def request_from_peers(self, grant: Grant, tokens: int) -> None:
-        """Ask all peers for what they hold and may use."""
+        """Ask all peers for tokens that they hold and may use."""
         all_replied = False
         for ask_for_all in (False, True):
             need = self._missing_tokens(grant, tokens)
@@ -45,7 +45,7 @@
             grant.record_shortage(tokens, self.clock())
 
     def request_peer_draw(self, grant: Grant, tokens: int) -> None:
-        """Ask a peer that reaches the books to draw from them for this instance."""
+        """Ask a peer that can reach the account to draw from it for this instance."""
         ahead = self._demand_tokens(grant, self.options.peer_draw_seconds)
         wish = max(ahead, grant.largest_request) + grant.waiting_tokens
         budget, received = grant.ledger.budget, dict(grant.ledger.received)
@@ -55,12 +55,12 @@
             grant.ledger.receive(spare.giver, spare.total)
 
     def _request_round(self, grant: Grant, need: int, ask_for_all: bool) -> bool:
-        """Ask each peer for a part that suffices if most have it, or for all of it.
+        """Ask each peer for a part that suffices if most have it, or for all of the need.
 
         Returns
         -------
         bool
-            Whether all replied.
+            Whether all peers replied.
         """
         asked = self.spares.peer_count()
         part = need if ask_for_all else -(-2 * need // max(1, asked))
--- a/whinrack/budgets/_release.py
+++ b/whinrack/budgets/_release.py
@@ -1,4 +1,4 @@
-"""Gives back what holders that are gone did not use."""
+"""Recovery of the unused tokens of holders that have ended."""
 
 import msgspec
 
@@ -16,16 +16,16 @@
 
 
 class ReleasedRow(msgspec.Struct, frozen=True, kw_only=True):
-    """What became of the tokens that an earlier run held of one budget.
+    """Outcome of releasing what an earlier run held of one budget.
 
     Attributes
     ----------
     written_off : int
-        Tokens that the run may have spent without a report.
+        Tokens that the run may have spent without reporting them.
     freed : int
         Tokens that it can't have spent.
     seconds : float
-        Time from the run's last schedule to the restart, the margin included.
+        Time from the run's last schedule to the restart, including the margin.
     """
 
     budget: str
@@ -35,17 +35,17 @@
 
 
 class RunRelease(msgspec.Struct, frozen=True):
-    """Asks to close the rows of earlier runs of an instance.
+    """Request to close the rows of earlier runs of an instance.
 
     Attributes
     ----------
     holder : str
-        The present run, whose start proves that earlier ones have ended.
-    restart : RestartMoment
+        The present run. Its start proves that the earlier ones have ended.
+    restart : RestartTime
         When the present run started.
     ended : list of str
-        Those earlier runs, by name: a request that is carried out late must not touch a run
-        that has started since.
+        Names of those earlier runs. They are listed because a request that is processed late must
+        not affect a run that has started since.
     """
 
     holder: str
@@ -56,18 +56,18 @@
 def release_holder(
     account: BudgetAccount | None, budget: str, holder: str, served: int | None
 ) -> BudgetAccount | None:
-    """Close the row of an incarnation that an operator says is gone for good.
+    """Close the row of an incarnation that an operator declares ended for good.
 
     Parameters
     ----------
     served : int or None
-        Tokens of the outstanding ones that the operator knows to be spent; the rest
-        becomes free. None: nothing is known, all of them stay out of use.
+        Outstanding tokens that the operator knows to be spent; the rest becomes free. None if
+        nothing is known: all of them are withdrawn from use.
 
     Notes
     -----
-    A returned token is only as safe as the operator's word: an incarnation that was
-    merely paused and wakes may spend it a second time.
+    Freed tokens are only as safe as the operator's declaration: an incarnation that was merely
+    paused may spend them a second time when it resumes.
     """
     entry = account.budgets.get(budget) if account is not None else None
     row = entry.rows.get(holder) if entry is not None else None
@@ -78,9 +78,9 @@
 
 
 def find_earlier_runs(account: BudgetAccount | None, holder: str) -> list[str]:
-    """Return the runs of the holder's instance, but itself, that have open rows.
+    """Return the runs of the holder's instance, other than the holder, that have open rows.
 
-    For the holder itself to ask: as long as it runs, all others have ended.
+    Only the holder itself may call this: while it runs, all the others have ended.
     """
     if account is None:
         return []
@@ -95,7 +95,7 @@
 
 
 def release_earlier_runs(account: BudgetAccount | None, release: RunRelease) -> list[ReleasedRow]:
-    """Close the rows of runs that have ended; their unused tokens are free.
+    """Close the rows of runs that have ended and free their unused tokens.
 
     Returns
     -------
@@ -104,8 +104,8 @@
 
     Notes
     -----
-    An earlier run kept to its schedule, so what it used is bounded by that at the
-    moment of the restart. The rest comes back.
+    An earlier run observed its schedule, which bounds what it had used by the time of the
+    restart. The rest is freed.
     """
     if account is None:
         return []
@@ -135,7 +135,7 @@
 
 
 def _close_row(row: AccountRow, lost: int) -> int:
-    """Write off what a holder may have used, free the rest and return that."""
+    """Write off what a holder may have used, free the rest and return the number freed."""
     row.unproven += lost
     freed = row.outstanding
     row.returned += freed
--- a/whinrack/budgets/_store_restore.py
+++ b/whinrack/budgets/_store_restore.py
@@ -1,7 +1,7 @@
-"""Books after the store came back from a copy, which lacks their latest writes.
+"""Recovery of accounts after the store was restored from a copy that lacks the latest writes.
 
-Holders state again what they know of themselves with each order. Until they have had time to,
-the books hold back what looks free: part of it was handed out in writes that the copy lacks.
+Holders report their own totals again with each order. Until they have had time to do so, draws
+are suspended, since part of the tokens that look free was granted in writes that the copy lacks.
 """
 
 import msgspec
@@ -19,26 +19,26 @@
 
 
 def is_account_of_earlier_era(account: BudgetAccount, era: int) -> bool:
-    """Whether books were written last before the store came back in its present era."""
+    """Return whether an account was last written before the store entered this era."""
     return account.era is not None and account.era < era
 
 
 def restore_account(
     account: BudgetAccount | None, latest: BudgetAccount | None, era: int
 ) -> BudgetAccount:
-    """Return books to go on with in a later era.
+    """Return the account to continue with in a later era.
 
     Parameters
     ----------
     account : BudgetAccount or None
-        As the store has them, None if it has none.
+        As stored, None if it is not in the store.
     latest : BudgetAccount or None
-        The latest that this writer knows; not changed.
+        Latest version that this writer knows; not modified.
     era : int
-        The present one.
+        The current era.
     """
     if latest is not None and (account is None or not is_later(account, latest)):
-        # Books of one era are written one after the other, so the later ones hold all of the copy.
+        # Writes within an era are sequential, so the later version includes all of the copy.
         restored = msgspec.convert(msgspec.to_builtins(latest), BudgetAccount)
     elif account is None:
         restored = BudgetAccount()
@@ -55,24 +55,24 @@
 
 
 def is_order_of_earlier_era(account: BudgetAccount, order: DrawOrder) -> bool:
-    """Whether the holder's row may be among what the store lost."""
+    """Return whether the holder's row may be among those that the store lost."""
     return None not in (order.era, account.era) and order.era < account.era
 
 
 def update_known_taken(account: BudgetAccount, entry: BudgetEntry, order: DrawOrder) -> None:
-    """Take in what a holder knows of an earlier era; the latest word on it counts."""
+    """Record what a holder knows of an earlier era, if it is newer than what is known so far."""
     if (
         account.is_held
         and is_order_of_earlier_era(account, order)
         and order.edition > entry.known_edition
     ):
         entry.known_edition, entry.known_taken = order.edition, order.taken
-        # The books that were gone on with were not the latest: neither are their rows.
+        # The account that was continued with was not the latest one, so its rows are outdated.
         entry.unstated = _open_holders(entry) - entry.stated
 
 
 def end_hold(account: BudgetAccount) -> None:
-    """Let tokens be drawn again; write off what was handed out and nobody stated again."""
+    """Resume draws; write off what was granted and not reported again by any holder."""
     account.is_held = False
     for entry in account.budgets.values():
         entry.unaccounted += max(0, entry.known_taken - entry.taken)
@@ -81,7 +81,7 @@
 
 
 def is_later(account: BudgetAccount, reference: BudgetAccount) -> bool:
-    """Whether books were written after others of the same account."""
+    """Return whether an account was written after another version of the same account."""
     return (account.era or 0, account.edition) > (reference.era or 0, reference.edition)
 
 
--- a/whinrack/budgets/tests/test_budget_manager.py
+++ b/whinrack/budgets/tests/test_budget_manager.py
@@ -1,4 +1,4 @@
-"""The books and the keepers together: no overspend, whatever fails; few false refusals."""
+"""Accounts and budget managers together: no overspend with any fault, and few false refusals."""
 
 from contextlib import nullcontext
 
@@ -28,7 +28,7 @@
 
 
 class Fleet:
-    """Keepers over one memory store, with links that can be cut."""
+    """Budget managers over one memory store, with links that can be cut."""
 
     def __init__(self, holders, limit, horizon=10.0):
         self.now = 0.0
@@ -104,9 +104,9 @@
 
 
 class BudgetMachine(RuleBasedStateMachine):
-    """Random requests, reports, cuts, kills, outages and lost replies.
+    """Random requests, reports, partitions, kills, outages and lost replies.
 
-    `served` counts the tokens that targets generated, apart from all books.
+    `served` counts the tokens that targets generated, independently of the account.
     """
 
     HOLDERS = ("x.1", "y.1", "z.1")
@@ -140,7 +140,7 @@
 
     @rule(who=st.sampled_from(HOLDERS))
     def kill_and_restart(self, who):
-        """A request that was open keeps generating: its whole cover is served."""
+        """Kill and restart an instance; its open requests go on and use their whole covers."""
         old = self._alive(who)
         for holder, cover in list(self.open):
             if holder == old:
@@ -186,7 +186,7 @@
 
     @rule()
     def write_off_dead(self):
-        """An operator releases what dead holders hold, without giving any back."""
+        """Release the rows of ended holders as an operator does, without freeing any tokens."""
         if self.fleet.store.down:
             return
         for holder in list(self.fleet.entry().rows):
@@ -237,7 +237,7 @@
 
 
 def test_report_with_nothing_free_does_not_stop_requests_to_peers():
-    """Found by the demo: a report marked the budget as dry and the peers weren't asked."""
+    """A report once marked the budget as having nothing free, so that the peers weren't asked."""
     fleet = Fleet(("x.1", "y.1"), 300, horizon=600.0)
     settle(fleet, fleet.cover("x.1", 150).unwrap(), 10)
     settle(fleet, fleet.cover("y.1", 150).unwrap(), 10)
@@ -316,7 +316,7 @@
 
 
 def test_tokens_given_to_a_peer_do_not_count_as_spent():
-    """Found by reading a golden session: the giver called the budget exhausted."""
+    """The giver once reported the budget as exhausted, as if the peer had spent the tokens."""
     fleet = Fleet(("x.1", "y.1"), 1000, horizon=600.0)
     settle(fleet, fleet.cover("x.1", 700).unwrap(), 10)
     fleet.cover("y.1", 900).unwrap()
@@ -336,7 +336,7 @@
 
 
 def test_request_larger_than_the_budget_draws_nothing():
-    """Found by a test of refusals: one absurd request moved the whole budget to its instance."""
+    """A single oversized request once moved the whole budget to its instance."""
     fleet = Fleet(("x.1", "y.1"), 1000, horizon=0.0)
     assert isinstance(fleet.cover("x.1", 5000).failure(), BudgetExhausted)
     assert fleet.entry().free == 1000
--- a/whinrack/budgets/tests/test_grants.py
+++ b/whinrack/budgets/tests/test_grants.py
@@ -1,4 +1,4 @@
-"""Keepers of short grants together: no overspend, whatever dies, is cut off or comes late."""
+"""Several grant managers together: no overspend with crashes, partitions and late writes."""
 
 import random
 
@@ -29,7 +29,7 @@
 
 
 class LinkedStore(ObjectStore):
-    """One machine's way to the store."""
+    """Store as reached from one machine."""
 
     def __init__(self, store, machine):
         self.store = store
@@ -51,7 +51,7 @@
 
 
 class Machine:
-    """A machine with its clocks, and the run that is on it now."""
+    """Machine with its clocks and the current run of its instance."""
 
     def __init__(self, fleet, name):
         self.fleet = fleet
@@ -62,7 +62,7 @@
         self.runs = 0
         self.released = False
         self.covers = []
-        # Who draws the budget ahead for this machine; None is the machine itself.
+        # Machine that draws the budget ahead for this one; None for this machine itself.
         self.supplier = None
         self.start()
 
@@ -105,7 +105,7 @@
             self.released = isinstance(self.manager.release_earlier_runs(restart), Success)
 
     def crash(self):
-        """Open requests may have been answered to their end."""
+        """End this run and start the next; open requests may have used their whole cover."""
         self.fleet.used += sum(cover.tokens for cover in self.covers)
         self.start()
 
@@ -123,7 +123,7 @@
 
 
 class Peers(SpareTokenSource):
-    """The other machines, reached unless the fleet is told to lose replies."""
+    """The other machines, reachable unless the fleet loses replies."""
 
     def __init__(self, fleet, machine):
         self.fleet = fleet
@@ -170,7 +170,7 @@
 
 
 class _Lock:
-    """No two green threads here."""
+    """Lock that does nothing, since these tests have no green threads."""
 
     def __enter__(self):
         return self
@@ -200,7 +200,7 @@
 
 
 class NeverBeyondTheLimit(RuleBasedStateMachine):
-    """Tokens used and promised never exceed the limit."""
+    """Checks that used and reserved tokens never exceed the limit."""
 
     def __init__(self):
         super().__init__()
@@ -273,7 +273,7 @@
 
     @rule(index=st.integers(0, 2), jump=st.sampled_from([-3.0, -1.5, 0.0, 1.5]))
     def jump_of_the_time_of_day(self, index, jump):
-        """Never that of most machines at once: that is what the check relies on."""
+        """Change the time of day of one machine, as the clock check assumes that most are right."""
         for machine in self.fleet.machines:
             machine.wall_offset = 0.0
         self.machine(index).wall_offset = jump
@@ -303,7 +303,7 @@
 
     @rule(index=st.integers(0, 2), supplier=st.sampled_from([None, 0, 1, 2]))
     def choose_supplier(self, index, supplier):
-        """Machines may disagree on who supplies them."""
+        """Change the supplier of one machine; machines may disagree on who supplies them."""
         self.machine(index).supplier = None if supplier is None else self.machine(supplier)
 
     @rule(supplier=st.integers(0, 2))
@@ -323,7 +323,7 @@
         assert self.fleet.max_spent() <= self.fleet.limit
 
     def teardown(self):
-        """Heal everything and use what is left: what was used before must not come back."""
+        """Heal everything and use what is left: tokens used before must not be granted again."""
         self.fleet.store.apply_held()
         for machine in self.fleet.machines:
             machine.cut_off = False
@@ -338,7 +338,7 @@
 
 
 def busy_fleet(limit=100_000, seconds=20):
-    """Three machines that each use 300 tokens a second of one budget."""
+    """Return three machines that each use 300 tokens per second of one budget."""
     fleet = Fleet(3, limit)
     for _ in range(seconds):
         run_second(fleet)
@@ -366,7 +366,7 @@
 
 
 def seldom_used_fleet(limit, seed):
-    """A supplier and two machines that send a large request every two seconds by chance."""
+    """Return a supplier and two machines with a large request every two seconds on average."""
     fleet, rng = Fleet(3, limit), random.Random(seed)
     for machine in fleet.machines:
         machine.supplier = fleet.machines[0]
@@ -388,7 +388,7 @@
 
 
 def test_outage_refuses_little_of_a_seldom_used_budget():
-    """Four requests are expected in it, and twice as many may come."""
+    """Four requests are expected during the outage, but twice as many may come."""
     served = asked = 0
     for seed in range(30):
         fleet, second = seldom_used_fleet(3_000_000, seed)
@@ -537,7 +537,7 @@
 
 
 def nearly_used_fleet_cut_off():
-    """Return two machines without the store that know of 50 tokens left of 1,000."""
+    """Return two machines without the store that know of 50 unspent tokens out of 1,000."""
     fleet = Fleet(2, 1000)
     fleet.machines[0].request(900)
     assert isinstance(fleet.machines[1].request(50), Success)
@@ -548,7 +548,7 @@
 
 
 def test_budget_exhausted_before_an_outage_stays_exhausted_in_it():
-    """A caller of an exhausted budget isn't told to come again, however long the outage."""
+    """Callers of an exhausted budget aren't told to retry, however long the outage lasts."""
     fleet = nearly_used_fleet_cut_off()
     fleet.now += 9.0
     assert isinstance(fleet.machines[1].request(200).failure(), BudgetExhausted)
@@ -561,7 +561,7 @@
 
 
 def test_tokens_of_open_requests_at_peers_can_not_be_spent():
-    """The entry still count the tokens of open requests as held."""
+    """The account still counts the tokens of open requests as held."""
     fleet = Fleet(2, 1000)
     fleet.machines[0].request(900)
     fleet.machines[1].manager.renew()
@@ -600,7 +600,7 @@
 
 
 def use_all_tokens(fleet):
-    """Use whatever can still be had anywhere."""
+    """Use all tokens that can still be obtained anywhere."""
     for _ in range(6):
         for machine in fleet.machines:
             machine.release()
@@ -670,7 +670,7 @@
 
 
 def test_undeliverable_orders_do_not_revoke_released_tokens():
-    """In an outage the allowance of quiet seconds is there for the busy ones."""
+    """What a schedule releases in idle seconds of an outage stays usable in the later ones."""
     fleet = busy_fleet()
     machine = fleet.machines[0]
     machine.cut_off = True
@@ -691,7 +691,7 @@
 
 
 def supplied_fleet(**options):
-    """Three machines, the first of which draws ahead for all."""
+    """Return three machines, the first of which draws ahead for all."""
     fleet = busy_fleet(**options)
     for machine in fleet.machines:
         machine.supplier = fleet.machines[0]
@@ -751,7 +751,7 @@
 
 
 def test_supplier_reduces_the_loss_from_large_requests_when_all_are_killed():
-    """Each machine keeps one request released; with a supplier only that one does."""
+    """Each machine keeps one request released; with a supplier, only the supplier does."""
 
     def lost(supplied):
         fleet = Fleet(3, 400_000)
@@ -779,7 +779,7 @@
 
 
 def test_immediate_retry_is_refused_for_the_same_reason():
-    """What the peers said a moment ago still tells exhausted from contended."""
+    """The last replies of the peers still distinguish exhausted from contended budgets."""
     fleet = Fleet(2, 1000)
     fleet.machines[0].request(900)
     fleet.machines[1].manager.renew()
--- a/whinrack/budgets/tests/test_loss_of_power.py
+++ b/whinrack/budgets/tests/test_loss_of_power.py
@@ -1,8 +1,8 @@
-"""All machines lose power some seconds after an outage of the store, and go on after it.
+"""Power loss of all machines some seconds after an outage of the store.
 
-The load of a large workspace on a fleet: its limit lasts for a minute of its demand, one instance
-draws it ahead and lends to another that has the callers. The store is away for 8 s; 3 s later all
-machines lose power, for 1.6 s, and their processes have started half a second after that.
+The load is that of a large workspace whose limit lasts for a minute of its demand. One instance
+draws it ahead and gives tokens to the one that receives the requests. The store is unreachable for
+8 s. 3 s later all machines lose power for 1.6 s, and their processes start 0.5 s after that.
 """
 
 import random
@@ -25,7 +25,7 @@
 
 
 class Scenario:
-    """One day of the workspace."""
+    """Simulation of the load, the outage and the power loss."""
 
     def __init__(self, seed, surge=1.0):
         self.rng = random.Random(seed)
@@ -38,7 +38,7 @@
             machine.manager.can_draw_ahead = True
 
     def run(self):
-        """Scenario until the power is lost; returns the part that was served in the outage."""
+        """Run until the power is lost; return the fraction served during the outage."""
         running = []
         for step in range(int(_POWER_LOST_AT / _STEP_SECONDS)):
             now = step * _STEP_SECONDS
@@ -68,7 +68,7 @@
         return [self.rng.choice(_SIZES) for _ in range(count)]
 
     def lose_power(self):
-        """Let all machines lose power and start again; returns the part that is out of use."""
+        """Crash and restart all machines; return the fraction of the limit withdrawn from use."""
         self.fleet.now += _DOWN_SECONDS
         for index, machine in enumerate(self.fleet.machines):
             machine.steady_offset = 1e5 * (index + 1)
@@ -83,7 +83,7 @@
 
 
 def test_lending_run_renews_its_schedule_with_each_report():
-    """Its statement was 2.5 s old when the power was lost: 0.135 of the budget was out of use."""
+    """A schedule that was 2.5 s old at the power loss withdrew 0.135 of the budget from use."""
     scenario = Scenario(1)
     scenario.run()
     stated = scenario.supplier.manager._grants["b"].last_schedule
--- a/whinrack/budgets/tests/test_orders.py
+++ b/whinrack/budgets/tests/test_orders.py
@@ -1,4 +1,4 @@
-"""What an order that is waited for tells of the backend."""
+"""What a pending order tells about the reachability of the store."""
 
 from returns.result import Failure
 
@@ -8,7 +8,7 @@
 
 
 class SilentBackend:
-    """Never replies; meanwhile the store answers another call."""
+    """Backend that never replies; meanwhile the store answers another call."""
 
     def __init__(self):
         self.now = 0.0
@@ -23,7 +23,7 @@
 
 
 def test_order_sent_before_the_store_recovered_does_not_mark_it_unreachable():
-    """Such an order is waited for 1.2 s, in which the return was told to nobody."""
+    """Such an order blocks for 1.2 s, during which the recovery would go unnoticed."""
     backend = SilentBackend()
     orders = GrantOrders(
         {},
--- a/whinrack/budgets/tests/test_schedule.py
+++ b/whinrack/budgets/tests/test_schedule.py
@@ -1,4 +1,4 @@
-"""Schedules: what a run may use by when, and what the next run concludes from them."""
+"""Release schedules: what a run may use when, and what the next run infers from them."""
 
 from whinrack.budgets import (
     BudgetAccount,
@@ -83,7 +83,7 @@
     account = account_after(billed=40, schedule=schedule(100, rate=10.0))
     rows = released(account, "m.2")
     entry = account.budgets["b"]
-    # Of 300, at most 100 + 20 were used; 40 of these are billed.
+    # At most 100 + 20 of the 300 tokens were used; 40 of them are billed.
     assert (entry.free, entry.unproven, entry.billed) == (880, 80, 40)
     assert rows == [ReleasedRow(budget="b", written_off=80, freed=180, seconds=2.0)]
 
@@ -101,7 +101,7 @@
 
 
 def test_late_release_does_not_affect_a_run_started_since():
-    """A writer may be slow; by then a third run of the instance may spend its own grant."""
+    """A slow writer may carry out a release when a third run already spends its own grant."""
     account = account_after(schedule=schedule(0))
     asked = RunRelease("m.2", RestartTime(102.0, 1002.0, 3.5), find_earlier_runs(account, "m.2"))
     newest = DrawOrder(account="a", budget="b", holder="m.3", sequence=1, need=200, opening=True)
@@ -127,7 +127,7 @@
     )
     apply_draws(account, [draw, final])
     entry = account.budgets["b"]
-    # All but what was billed and what a peer has yet to report.
+    # Everything but the billed tokens and those that a peer has yet to report.
     assert entry.free == 1000 - 40 - 30
     peer = DrawOrder(
         account="a", budget="b", holder="n.1", sequence=1, received={"m.1": 30}, opening=True
--- a/whinrack/budgets/tests/test_store_restore.py
+++ b/whinrack/budgets/tests/test_store_restore.py
@@ -1,4 +1,4 @@
-"""Books that the store has lost some writes of: no overspend, and little that is never sold."""
+"""Accounts after a store lost writes: no overspend, and few tokens that are never granted."""
 
 import hypothesis.strategies as st
 import msgspec
@@ -15,7 +15,7 @@
 
 
 def restore_store(fleet, copy):
-    """Restore the store, and let those that reach it state what they hold."""
+    """Restore the store and let the machines that reach it report what they hold."""
     fleet.store.restore(copy)
     for machine in fleet.machines:
         machine.manager.handle_store_restored(fleet.store.era.current)
@@ -23,7 +23,7 @@
 
 
 def clear_known_accounts(fleet):
-    """Let no writer know more of the books than the store does, as after a change of writers."""
+    """Clear the writers' knowledge of later accounts, as after a change of writers."""
     for machine in fleet.machines:
         machine.manager.backend._latest.clear()
         machine.manager.backend._editor._known.clear()
@@ -121,7 +121,7 @@
 
 
 class NeverBeyondTheLimitAcrossReturns(RuleBasedStateMachine):
-    """A store that comes back at any moment, with machines that are cut off and heal."""
+    """Restores the store at any moment, with machines that are cut off and healed."""
 
     def __init__(self):
         super().__init__()
@@ -180,7 +180,7 @@
         assert self.fleet.max_spent() <= self.fleet.limit
 
     def teardown(self):
-        """Heal everything and use what is left: what was used before must not come back."""
+        """Heal everything and use what is left: tokens used before must not be granted again."""
         self.fleet.store.apply_held()
         for machine in self.fleet.machines:
             machine.cut_off = False
--- a/whinrack/budgets/tests/test_waiting.py
+++ b/whinrack/budgets/tests/test_waiting.py
@@ -21,7 +21,7 @@
 
 
 class SlowBackend(AccountBackend):
-    """Books that take a while and count the calls."""
+    """Backend with a delay that counts its calls."""
 
     def __init__(self):
         self.writer = AccountWriter(MemoryStore(), Semaphore, sleep=eventlet.sleep, seed=1)
@@ -160,7 +160,7 @@
 
 
 def test_waiting_requests_are_refused_together_after_a_failed_refill(backend):
-    """Each round takes a while; one after the other they would outlast their callers."""
+    """Each refill takes a while; one after the other they would outlast their callers."""
     manager = GrantManager("m.1", "a", backend, SilentPeers(), GrantOptions(), make_lock=Semaphore)
     manager.set_limits(1, {BUDGET: 1_000})
     began = steady()
--- a/whinrack/budgets/tests/test_young_demand.py
+++ b/whinrack/budgets/tests/test_young_demand.py
@@ -1,8 +1,8 @@
-"""A large budget comes into use, and two outages of the store follow within seconds.
+"""Two outages of the store shortly after a large budget came into use.
 
-The load of a fleet of 195 instances, as one of its workspaces sent it: traffic begins at 0 s,
-the store is away from 2.7 to 4.8 s and from 5.1 to 13.2 s, and from 3 s on the requests are three
-times as many as before. One instance takes them all, another one draws the budget ahead.
+The load is that of one workspace in a fleet of 195 instances: requests begin at 0 s, the store is
+unreachable from 2.7 to 4.8 s and from 5.1 to 13.2 s, and from 3 s on there are three times as many
+requests. One instance receives all of them; another one draws the budget ahead.
 """
 
 import random
@@ -13,7 +13,7 @@
 from whinrack.budgets.tests.test_grants import BUDGET, Fleet
 
 _LIMIT = 4_400_000
-# Tokens a second, at their most.
+# Demand in tokens per second, before and after the increase.
 _EARLY, _LATER = 40_000, 115_000
 _SIZES = (1_500, 2_500, 7_000, 13_000)
 _STEP_SECONDS = 0.05
@@ -23,7 +23,7 @@
 
 
 def run_scenario(seed):
-    """Return the part of the tokens that was served."""
+    """Return the served fraction of the requested tokens."""
     rng = random.Random(seed)
     fleet = Fleet(3, _LIMIT)
     supplier, entry, _ = fleet.machines
