--- a/whinrack/requests/__init__.py
+++ b/whinrack/requests/__init__.py
@@ -1,4 +1,4 @@
-"""Requests: identity through retries, memory, claims and bounds on their tokens."""
+"""Requests: identity across retries, memory, claims and bounds on their tokens."""
 
 from whinrack.requests._claims import (
     CLAIM_KIND,
--- a/whinrack/requests/_claims.py
+++ b/whinrack/requests/_claims.py
@@ -1,7 +1,7 @@
-"""Claims: a request that may not be repeated is claimed in the platform before it runs.
+"""Claims on requests that may run at most once, made in the platform before they run.
 
-A claim is a conditional create, so one incarnation at most holds it. It is never taken
-over: its holder may only be paused.
+A claim is created by a conditional write, so at most one incarnation holds it. It is never taken
+over by another incarnation, since its holder may only be paused.
 """
 
 import time
@@ -21,16 +21,17 @@
 
 
 class RequestClaim(msgspec.Struct, frozen=True):
-    """Who may run a request that runs at most once.
+    """Claim of an incarnation on a request that runs at most once.
 
     Attributes
     ----------
     digest : str
-        Of the request's body, hexadecimal.
+        Digest of the request body, hexadecimal.
     not_run : bool
-        The holder gave the request up before anything was sent; it may be claimed anew.
+        Whether the holder abandoned the request before anything was sent. It may then be claimed
+        again.
     at : float
-        Wall clock time of the claim, seconds since the epoch; for clean-up only.
+        Time of day of the claim, seconds since the epoch; used for clean-up only.
     """
 
     holder: str
@@ -40,16 +41,16 @@
 
 
 class ClaimStore:
-    """Makes and gives up claims.
+    """Makes and abandons claims.
 
     Parameters
     ----------
     store : ObjectStore
-        Where claims are kept.
+        Stores the claims.
     incarnation : str
-        Who claims.
+        Incarnation that makes the claims.
     wall_clock : callable, optional
-        Seconds since the epoch.
+        Returns the seconds since the epoch.
     """
 
     def __init__(
@@ -67,7 +68,7 @@
     def claim(
         self, identity: RequestIdentity, digest: bytes
     ) -> Result[RequestClaim, PlatformFailure]:
-        """Claim a request; returns the claim that stands, which may be another's."""
+        """Claim a request; return the claim in effect, which may be held by another incarnation."""
         own_claim = RequestClaim(self.incarnation, digest.hex(), at=self.wall_clock())
 
         def change(stored: RequestClaim | None) -> RequestClaim | None:
@@ -80,7 +81,7 @@
         return self._editor.apply(identity.request_id, change)
 
     def abandon(self, identity: RequestIdentity) -> Result[RequestClaim, PlatformFailure]:
-        """Say that a claimed request was not run and won't be, by this holder."""
+        """Record that this holder has not run a claimed request and will not run it."""
 
         def change(stored: RequestClaim | None) -> RequestClaim | None:
             if stored is None or stored.holder != self.incarnation or stored.not_run:
@@ -91,7 +92,7 @@
 
 
 class ClaimStatus(StrEnum):
-    """What a claim means for the incarnation that asked."""
+    """Meaning of a claim for the incarnation that tried to make it."""
 
     HELD = "mine"
     HELD_ELSEWHERE = "other"
@@ -101,7 +102,7 @@
 def evaluate_claim(
     result: Result[RequestClaim, PlatformFailure], incarnation: str, digest: bytes
 ) -> Result[ClaimStatus, PlatformFailure]:
-    """Tell what the standing claim means for an incarnation."""
+    """Return what the claim in effect means for an incarnation."""
     if isinstance(result, Failure):
         return Failure(result.failure())
     claim = result.unwrap()
--- a/whinrack/requests/_identity.py
+++ b/whinrack/requests/_identity.py
@@ -1,4 +1,4 @@
-"""Who a request is: the same through every retry, at every instance."""
+"""Identity of requests, which is the same for every retry and at every instance."""
 
 import secrets
 
@@ -22,16 +22,16 @@
 
 
 class RequestIdentity(msgspec.Struct, frozen=True):
-    """A request's workspace and the key that the caller gave it.
+    """Workspace of a request and the key that its caller gave it.
 
     Attributes
     ----------
     workspace : str
-        The paying workspace.
+        Workspace that pays for the request.
     key : str
-        The caller's Idempotency-Key, or a new id where it gave none.
-    keyed : bool
-        Whether the caller can name the request again.
+        The Idempotency-Key of the caller, or a new id if there is none.
+    has_caller_key : bool
+        Whether the key comes from the caller, who can then refer to the request again.
     """
 
     workspace: str
@@ -40,22 +40,22 @@
 
     @property
     def name(self) -> str:
-        """Return the identity as one string, the same at every instance."""
+        """The identity as one string, the same at every instance."""
         return f"{self.workspace}/{self.key}"
 
     @property
     def request_id(self) -> str:
-        """Return a short id that follows from the identity alone."""
+        """Short id that depends only on the identity."""
         return f"{xxhash.xxh3_128_hexdigest(self.name.encode())}"
 
     @classmethod
     def from_header(cls, workspace: str, header: str) -> "RequestIdentity":
-        """Build the identity from the Idempotency-Key header, "" if there is none.
+        """Create the identity from the Idempotency-Key header, "" if there is none.
 
         Raises
         ------
         BadRequest
-            For a key that is too long or holds other than visible ASCII.
+            If the key is too long or contains characters other than printable ASCII.
         """
         if not header:
             return cls(workspace, new_request_id(), has_caller_key=False)
@@ -68,18 +68,18 @@
 
 
 class Ticket(msgspec.Struct, frozen=True):
-    """What the answer to "which address?" gives a caller to send with each try."""
+    """Home of a request, returned with the address to use and sent back with each attempt."""
 
     home: str
 
 
 def new_request_id() -> str:
-    """Return an id for a request that its caller didn't name."""
+    """Return an id for a request whose caller gave no key."""
     return f"anon-{secrets.token_hex(_REQUEST_ID_BYTES)}"
 
 
 def body_digest(*parts: bytes) -> bytes:
-    """Return a digest that tells whether a key is used with another body."""
+    """Return a digest of a body, to detect that a key is reused with another one."""
     hasher = xxhash.xxh3_128()
     for part in parts:
         hasher.update(part)
@@ -88,12 +88,12 @@
 
 
 def encode_ticket(ticket: Ticket) -> str:
-    """Encode a ticket for a header."""
+    """Encode a ticket as the value of a header."""
     return _TICKET_PREFIX + ticket.home
 
 
 def decode_ticket(header: str) -> Ticket | None:
-    """Decode a ticket; None for none at all or one that isn't ours."""
+    """Decode a ticket; return None if the header is empty or not a valid ticket."""
     if not header.startswith(_TICKET_PREFIX) or len(header) > _MAX_KEY_LENGTH:
         return None
     return Ticket(home=header.removeprefix(_TICKET_PREFIX))
--- a/whinrack/requests/_memory.py
+++ b/whinrack/requests/_memory.py
@@ -1,9 +1,9 @@
 """Request memory: which incarnation runs a request, and what it answered.
 
-Each identity has an entry at its *home*. The entry's owner is the only incarnation
-that may run the request. Ownership passes on only by a promise: the home cedes an
-entry to an asker and from then on asks that owner before it runs the request itself.
-Decisions only, no I/O.
+Each identity has an entry at its *home*, an incarnation. Only the owner in the entry may run the
+request. Ownership is transferred when the home cedes an entry to an incarnation that asks for it;
+from then on the home asks that owner before it runs the request itself. This module makes
+decisions only and does no I/O.
 """
 
 from collections import OrderedDict
@@ -23,7 +23,7 @@
 
 
 class RunState(StrEnum):
-    """How far a request is at this incarnation."""
+    """Progress of a request at this incarnation."""
 
     ASKING = "asking"
     RESERVED = "reserved"
@@ -35,7 +35,7 @@
 
 
 class ConsultDecision(StrEnum):
-    """The answer to an incarnation that asks whether it may run a request."""
+    """Answer to an incarnation that asks whether it may run a request."""
 
     CEDED = "ceded"
     HERE = "here"
@@ -50,18 +50,18 @@
 
 
 class MemoryEntry(msgspec.Struct):
-    """What is remembered of one request.
+    """Remembered state of one request.
 
     Attributes
     ----------
     digest : bytes
-        Of the request's body; another body under the same key is a mistake.
+        Digest of the request body, to detect that a key is reused with another one.
     owner : str
-        The incarnation that may run it.
+        Incarnation that may run the request.
     answer : object or None
-        The running or finished answer, kept so that a retry can join it.
+        Running or finished answer, kept so that a retry can join it.
     expires : float
-        Clock time after which a finished entry may be forgotten.
+        Clock time after which the entry may be removed unless the request is in progress.
     """
 
     digest: bytes
@@ -72,14 +72,14 @@
 
 
 class ConsultReply(NamedTuple):
-    """The answer to a question, and the owner for `HERE`, `ELSEWHERE` and `RAN`."""
+    """Answer to a consultation, with the owner of the request if the decision names one."""
 
     decision: ConsultDecision
     owner: str = ""
 
 
 class HandoverEntry(msgspec.Struct, frozen=True):
-    """An entry on its way from a home that stops to the one asked next."""
+    """Entry that a stopping home transfers to the incarnation that is asked after it."""
 
     identity: str
     digest: bytes
@@ -88,16 +88,16 @@
 
 
 class RequestMemory:
-    """Entries by identity, bounded in number and age.
+    """Request entries by identity, bounded in number and age.
 
     Parameters
     ----------
     incarnation : str
         This incarnation.
     retention : float
-        Seconds that a finished request is remembered.
+        Seconds for which entries are kept.
     max_entries : int
-        Most entries; the oldest finished ones go first.
+        Maximum number of entries; the oldest ones of ended requests are removed first.
     """
 
     def __init__(self, incarnation: str, retention: float = 600.0, max_entries: int = 20_000):
@@ -111,11 +111,11 @@
         return len(self._entries)
 
     def find(self, identity: str) -> MemoryEntry | None:
-        """Return what is remembered."""
+        """Return the entry of a request, None if there is none."""
         return self._entries.get(identity)
 
     def reserve(self, identity: str, digest: bytes, now: float) -> MemoryEntry:
-        """Make this incarnation the owner, while it may still be asking the home."""
+        """Create an entry owned by this incarnation, which may still have to ask the home."""
         entry = MemoryEntry(
             digest=digest,
             owner=self.incarnation,
@@ -128,14 +128,14 @@
         return entry
 
     def restore(self, identity: str, entry: MemoryEntry | None) -> None:
-        """Put back what was remembered before a reservation that came to nothing."""
+        """Put back the entry that was replaced by an unsuccessful reservation."""
         if entry is not None:
             self._entries[identity] = entry
 
     def set_state(
         self, identity: str, state: RunState, now: float, answer: object | None = None
     ) -> None:
-        """Record how far the request is."""
+        """Record the progress of a request owned by this incarnation."""
         entry = self._entries.get(identity)
         if entry is None or entry.owner != self.incarnation:
             return
@@ -147,7 +147,7 @@
             entry.answer = None
 
     def handover_entries(self) -> list[HandoverEntry]:
-        """Return what those who are asked after a planned stop have to know."""
+        """Return the entries to transfer to the incarnations asked after a planned stop."""
         return [
             HandoverEntry(identity, entry.digest, entry.owner, entry.state)
             for identity, entry in self._entries.items()
@@ -155,11 +155,11 @@
         ]
 
     def take_over(self, home: str, entries: list[HandoverEntry], now: float) -> None:
-        """Take over the memory of a home that has stopped as planned."""
+        """Take over the entries of a home that has stopped as planned."""
         self._taken_over[home] = now + self.retention
         for handover in entries:
             existing = self._entries.get(handover.identity)
-            # What was ceded to the home that stops is better known to it.
+            # The stopping home knows more about entries that were ceded to it.
             if existing is None or existing.owner == home:
                 self._entries[handover.identity] = MemoryEntry(
                     handover.digest, handover.owner, handover.state, expires=now + self.retention
@@ -167,11 +167,11 @@
         self._evict(now)
 
     def taken_over_homes(self, now: float) -> list[str]:
-        """Return the homes that this incarnation is an heir of."""
+        """Return the homes whose memory this incarnation has taken over."""
         return [home for home, until in self._taken_over.items() if until > now]
 
     def is_responsible_for(self, home: str, now: float) -> bool:
-        """Whether this incarnation is a home's heir, or the home itself."""
+        """Return whether this incarnation is a home or has taken over its memory."""
         return home in ("", self.incarnation) or self._taken_over.get(home, 0.0) > now
 
     def consult(
@@ -183,19 +183,19 @@
         repeatable: bool,
         now: float,
     ) -> ConsultReply:
-        """Answer an incarnation that wants to run a request.
+        """Answer an incarnation that asks whether it may run a request.
 
         Parameters
         ----------
         lost_owner : str
-            An owner that the asker could not reach, "" if it knows of none.
+            Owner that the asker could not reach, "" if there is none.
         repeatable : bool
-            Whether the request may be run again after a lost owner.
+            Whether the request may run again after its owner was lost.
 
         Returns
         -------
-        Verdict
-            The answer.
+        ConsultReply
+            The decision, and the owner where it matters.
         """
         entry = self._entries.get(identity)
         if entry is None:
@@ -220,7 +220,7 @@
         if entry.state is RunState.NOT_RUN:
             return self._cede(identity, entry.digest, asker, now)
         if entry.state is RunState.ASKING and asker < self.incarnation:
-            # Two incarnations ask each other: the first by name has it.
+            # Two incarnations ask each other: the one whose name sorts first gets the request.
             return self._cede(identity, entry.digest, asker, now)
         if entry.state is RunState.UNKNOWN:
             if repeatable:
@@ -236,7 +236,7 @@
         return ConsultReply(ConsultDecision.CEDED, asker)
 
     def _evict(self, now: float) -> None:
-        """Forget expired entries, and the oldest ended ones beyond the limit."""
+        """Remove expired entries of ended requests, and the oldest ones beyond the limit."""
         for identity in list(self._entries)[: max(2, len(self._entries) - self.max_entries)]:
             entry = self._entries[identity]
             active = entry.state in _ACTIVE
--- a/whinrack/requests/_token_bounds.py
+++ b/whinrack/requests/_token_bounds.py
@@ -1,4 +1,4 @@
-"""Bounds on the tokens of a request that can be proved before it is sent."""
+"""Provable upper bounds on the tokens of a request, computed before it is sent."""
 
 from collections.abc import Iterable
 
@@ -17,29 +17,29 @@
 ]
 
 _MAX_CHOICES = 8
-# Extensions of engines that repeat the prompt, fetch content or generate unseen choices.
+# Engine extensions that repeat the prompt, fetch content or generate choices that aren't returned.
 _UNBOUNDED_FIELDS = frozenset(
     {"best_of", "use_beam_search", "chat_template", "chat_template_kwargs", "documents"}
 )
 
 
 class StreamOptions(msgspec.Struct):
-    """The part of `stream_options` that whinrack reads."""
+    """Fields of `stream_options` that whinrack reads."""
 
     include_usage: bool = False
 
 
 class ChatMessage(msgspec.Struct):
-    """The part of a message that whinrack reads."""
+    """Fields of a message that whinrack reads."""
 
     role: str
     content: msgspec.Raw = msgspec.Raw(b"null")
 
 
 class ChatRequest(msgspec.Struct):
-    """The part of a chat completion request that whinrack reads.
+    """Fields of a chat completion request that whinrack reads.
 
-    Other fields are passed to the engine as they came.
+    All other fields are passed to the engine unchanged.
     """
 
     model: str
@@ -54,12 +54,12 @@
 
 
 def reject_unbounded_fields(names: Iterable[str]) -> None:
-    """Refuse fields with which an engine may use more tokens than the bound.
+    """Reject fields that allow an engine to use more tokens than the bound.
 
     Raises
     ------
     CoverUnbounded
-        Naming the field.
+        If there is such a field; names it.
     """
     for name in names:
         if name in _UNBOUNDED_FIELDS:
@@ -67,12 +67,12 @@
 
 
 def output_token_limit(request: ChatRequest, pool: TargetPool) -> int:
-    """Return the most tokens that one choice may have.
+    """Return the maximum number of tokens of one choice.
 
     Raises
     ------
     BadRequest
-        For limits that are out of range.
+        If the limit in the request is out of range.
     """
     field, limit = "max_tokens", request.max_tokens
     if request.max_completion_tokens is not None:
@@ -87,14 +87,22 @@
 
 
 def request_token_bound(request: ChatRequest, body_length: int, pool: TargetPool) -> int:
-    """Return a bound on all tokens that the request can use.
+    """Return an upper bound on all tokens that the request can use.
+
+    Raises
+    ------
+    BadRequest
+        If the number of choices or the output limit is out of range.
+    CoverUnbounded
+        If a message has content other than text.
+
 
     Notes
     -----
-    A byte-level tokeniser makes at most one token of each byte, so the length of the
-    request in bytes bounds its prompt. What an engine's template adds is bounded by
-    the pool's `prompt_overhead_tokens` a message or tool. Content that the engine
-    fetches from elsewhere has no such bound and is refused.
+    A byte-level tokenizer produces at most one token per byte, so the length of the body in bytes
+    bounds the prompt. What the engine's chat template adds is bounded by the pool's
+    `prompt_overhead_tokens` for each message or tool. Content that the engine fetches from
+    elsewhere has no such bound and is rejected.
     """
     if not 1 <= request.n <= _MAX_CHOICES:
         raise BadRequest(f"n: allowed is 1 to {_MAX_CHOICES}, got {request.n}", param="n")
--- a/whinrack/requests/tests/test_requests.py
+++ b/whinrack/requests/tests/test_requests.py
@@ -1,4 +1,4 @@
-"""Identity, memory, claims and bounds."""
+"""Request identity, memory, claims and token bounds."""
 
 import itertools
 
