--- a/whinrack/journal/__init__.py
+++ b/whinrack/journal/__init__.py
@@ -1,4 +1,4 @@
-"""The usage journal: each request's bill, kept in the platform."""
+"""Usage journal: the bill of each request, kept in the platform."""
 
 from whinrack.journal._records import (
     JOURNAL_KIND,
--- a/whinrack/journal/_records.py
+++ b/whinrack/journal/_records.py
@@ -1,4 +1,4 @@
-"""Bills as records in the platform, and the one bill that they add up to."""
+"""Bill records as stored in the platform, and their merging into bills of workspaces."""
 
 from collections.abc import Iterable
 
@@ -10,7 +10,7 @@
 
 
 class BillRecord(msgspec.Struct, frozen=True, array_like=True):
-    """One run of a request, as one incarnation bills it.
+    """Bill of one run of a request at one incarnation.
 
     Attributes
     ----------
@@ -19,8 +19,8 @@
     tokens : int
         Prompt and output tokens.
     provisional_against : str
-        A home incarnation that could not be asked and may have billed the request
-        too; "" if there is no such doubt.
+        Home incarnation that could not be asked and may have billed the request as well; "" if
+        there is none.
     """
 
     identity: str
@@ -31,7 +31,7 @@
 
 
 class JournalSegment(msgspec.Struct, frozen=True):
-    """Bill records of one incarnation, in the order they were settled."""
+    """Bill records of one incarnation, in the order in which they were settled."""
 
     incarnation: str
     number: int
@@ -39,14 +39,14 @@
 
 
 class WorkspaceBill(msgspec.Struct):
-    """What a workspace owes, and what was run twice without being billed twice.
+    """Amounts billed to a workspace, and tokens of repeated runs that are not billed.
 
     Attributes
     ----------
     requests, tokens : int
         Billed requests and their tokens.
     duplicate_tokens : int
-        Tokens of further runs of billed requests: spent, not billed.
+        Tokens of further runs of billed requests, which were spent but not billed.
     """
 
     requests: int = 0
@@ -55,11 +55,11 @@
 
 
 def merge_bills(segments: Iterable[JournalSegment]) -> dict[str, WorkspaceBill]:
-    """Add up journals to one bill a workspace, each request once.
+    """Merge journals into one bill per workspace, counting each request once.
 
-    Where several incarnations billed a request, a record without doubt goes before a
-    provisional one, and the first incarnation by name before a later one. So every
-    reader of the same journals comes to the same bill, in whatever order it reads.
+    If several incarnations billed a request, a record that is not provisional takes precedence
+    over a provisional one, and then the incarnation whose name sorts first. The result depends
+    only on the records, not on the order in which they are read.
     """
     chosen: dict[str, tuple[tuple, BillRecord]] = {}
     duplicates: dict[str, int] = {}
--- a/whinrack/journal/_writer.py
+++ b/whinrack/journal/_writer.py
@@ -1,4 +1,4 @@
-"""Writes one incarnation's journal, many records with one conditional write."""
+"""Writer of one incarnation's journal, with many records per conditional write."""
 
 from collections.abc import Callable
 
@@ -14,25 +14,25 @@
 
 
 def segment_name(incarnation: str, number: int) -> str:
-    """Return the object name of a segment."""
+    """Return the name of the object that stores a segment."""
     return f"{incarnation}.{number:06d}"
 
 
 class JournalWriter:
-    """Collects settled bills and commits them in groups.
+    """Collects bill records and commits them in groups.
 
-    The newest segment is rewritten with each commit until it is full, so that the
-    number of objects grows with the requests and not with the commits. Only this
-    incarnation writes its segments; a write whose reply is lost finds itself.
+    The newest segment is rewritten with each commit until it is full, so the number of objects
+    grows with the number of requests instead of commits. Only this incarnation writes its
+    segments, so a repeated write whose reply was lost finds its own records there.
 
     Parameters
     ----------
     store : ObjectStore
-        Where segments are kept.
+        Stores the segments.
     incarnation : str
-        Whose journal it is.
+        Incarnation whose journal is written.
     on_commit : callable, optional
-        Told the records that are now kept.
+        Called with the records of each successful commit.
     """
 
     def __init__(
@@ -54,17 +54,17 @@
 
     @property
     def pending_count(self) -> int:
-        """Records that are not kept yet."""
+        """Number of records that are not committed yet."""
         return len(self._pending)
 
     def add(self, record: BillRecord) -> int:
-        """Queue a record; returns the count that `committed` must reach for it."""
+        """Queue a record; return the value that `committed_count` reaches when it is committed."""
         self._pending.append(record)
         self.added_count += 1
         return self.added_count
 
     def commit(self) -> bool:
-        """Write what is queued; False if it could not be written now."""
+        """Write the queued records; return False if they can't be written now."""
         while self._pending:
             room = _SEGMENT_RECORDS - len(self._written)
             batch = self._pending[:room]
--- a/whinrack/journal/tests/test_journal.py
+++ b/whinrack/journal/tests/test_journal.py
@@ -1,4 +1,4 @@
-"""Each request is billed once, whatever was written, lost or read in whatever order."""
+"""Each request is billed once, with lost replies, outages and any order of reading."""
 
 import hypothesis.strategies as st
 from hypothesis import given, settings
