--- a/whinrack/budgets/_budget_manager.py
+++ b/whinrack/budgets/_budget_manager.py
@@ -14,7 +14,7 @@
 from whinrack.exceptions import BudgetContended, BudgetExhausted, Refusal, WhinrackError
 from whinrack.objects import Weighting
 
-__all__ = ["BudgetManager", "SpareTokenSource", "TransferTotal", "TokenSource"]
+__all__ = ["BudgetManager", "SpareTokenSource", "TokenSource", "TransferTotal"]
 
 _MIN_NO_FREE_BACKOFF = 0.5
 _MAX_NO_FREE_BACKOFF = 5.0
--- a/whinrack/budgets/_grant.py
+++ b/whinrack/budgets/_grant.py
@@ -191,16 +191,16 @@
             _REQUESTS_WHEN_PLENTIFUL if self.seconds_left(now) > options.plentiful_seconds else 1
         )
         ahead = max(rate * max(options.release_seconds, plenty), requests * self.largest_request)
-        pace = rate * max(options.release_factor, plenty)
+        release_rate = rate * max(options.release_factor, plenty)
         if self.last_result is not None and self.last_result.holders:
             # What is released and not used is lost if this run crashes: the less is left, the
             # less may be lost.
             share = self.last_result.unspent * self.demand_share(now)
-            pace = min(pace, share / options.release_horizon)
+            release_rate = min(release_rate, share / options.release_horizon)
             ahead = min(ahead, share * options.release_fraction)
         self.last_schedule = ReleaseSchedule(
             base=self.ledger.used + max(need, int(ahead)),
-            rate=round(max(0.0, pace), _RATE_DIGITS),
+            rate=round(max(0.0, release_rate), _RATE_DIGITS),
             steady=round(now, _CLOCK_DIGITS),
             wall=round(wall.seconds, _CLOCK_DIGITS),
             wall_checked=wall.is_checked,
@@ -232,8 +232,8 @@
 
     def unspent_bound(self) -> int:
         """Return an upper bound on the tokens available anywhere, as far as is known here."""
-        covering = self.ledger.unreported_use + sum(self.unreported_use_by_peer.values())
-        return self.last_result.unspent - covering
+        unreported = self.ledger.unreported_use + sum(self.unreported_use_by_peer.values())
+        return self.last_result.unspent - unreported
 
     def excess(self, seconds: float, now: float) -> int:
         """Return the tokens beyond some seconds of demand, if a peer supplies the budget."""
--- a/whinrack/budgets/_grant_manager.py
+++ b/whinrack/budgets/_grant_manager.py
@@ -171,7 +171,7 @@
         if grant is not None:
             self._covers.ensure_usable(grant, need, draw=True)
 
-    def draw_ahead(self) -> None:
+    def create_supplied_grants(self) -> None:
         """Draw the budgets that this run supplies before they are requested."""
         for budget in self._orders.limited_budgets():
             if self.spares.is_supplier(budget):
@@ -190,7 +190,7 @@
     def renew(self) -> Result[None, PlatformFailure]:
         """Report use, draw ahead and renew schedules, all in one write."""
         if self.can_draw_ahead:
-            self.draw_ahead()
+            self.create_supplied_grants()
         due = [grant for grant in self._grants.values() if self._orders.is_due(grant)]
         if not due:
             return Success(None)
--- a/whinrack/budgets/tests/test_budget_manager.py
+++ b/whinrack/budgets/tests/test_budget_manager.py
@@ -121,7 +121,7 @@
 
     @rule(who=st.sampled_from(HOLDERS), tokens=st.integers(1, 120))
     def request(self, who, tokens):
-        manager = self._alive(who)
+        manager = self._live_holder(who)
         result = self.fleet.cover(manager, tokens)
         if isinstance(result, Success):
             self.open.append((manager, result.unwrap()))
@@ -136,12 +136,12 @@
     @rule(who=st.sampled_from(HOLDERS), seconds=st.floats(0.0, 20.0))
     def report(self, who, seconds):
         self.fleet.now += seconds
-        self.fleet.managers[self._alive(who)].report()
+        self.fleet.managers[self._live_holder(who)].report()
 
     @rule(who=st.sampled_from(HOLDERS))
     def kill_and_restart(self, who):
         """Kill and restart an instance; its open requests go on and use their whole covers."""
-        old = self._alive(who)
+        old = self._live_holder(who)
         for holder, cover in list(self.open):
             if holder == old:
                 self.fleet.served += cover.tokens
@@ -152,7 +152,7 @@
 
     @rule(who=st.sampled_from(HOLDERS))
     def planned_stop(self, who):
-        old = self._alive(who)
+        old = self._live_holder(who)
         for holder, cover in list(self.open):
             if holder == old:
                 settle(self.fleet, cover, cover.tokens // 2)
@@ -164,7 +164,7 @@
 
     @rule(who=st.sampled_from(HOLDERS), cut=st.booleans())
     def cut_off(self, who, cut):
-        name = self._alive(who)
+        name = self._live_holder(who)
         (self.fleet.cut.add if cut else self.fleet.cut.discard)(name)
 
     @rule(down=st.booleans(), replies=st.integers(0, 3), writes=st.integers(0, 2))
@@ -209,7 +209,7 @@
         entry = self.fleet.entry()
         assert entry.limit == entry.billed + entry.unproven + entry.outstanding + entry.free
 
-    def _alive(self, who):
+    def _live_holder(self, who):
         return next(name for name in self.fleet.managers if name[0] == who[0])
 
 
--- a/whinrack/budgets/tests/test_grants.py
+++ b/whinrack/budgets/tests/test_grants.py
@@ -404,16 +404,16 @@
 
 def test_machine_without_the_store_draws_through_its_peers():
     fleet = busy_fleet()
-    lonely = fleet.machines[0]
-    lonely.cut_off = True
-    lonely.manager.renew()
+    isolated = fleet.machines[0]
+    isolated.cut_off = True
+    isolated.manager.renew()
     served = 0
     for _ in range(40):
         fleet.now += 1.0
         for _ in range(6):
-            served += isinstance(lonely.request(100), Success)
-            while lonely.covers:
-                lonely.settle(1.0)
+            served += isinstance(isolated.request(100), Success)
+            while isolated.covers:
+                isolated.settle(1.0)
         for machine in fleet.machines[1:]:
             machine.manager.renew()
     assert served == 240
@@ -746,7 +746,7 @@
 
 def test_machine_draws_itself_if_the_supplier_does_not_reply():
     fleet = supplied_fleet()
-    fleet.machines[1].manager.spares.request_from_supplier = lambda *question: []
+    fleet.machines[1].manager.spares.request_from_supplier = lambda *arguments: []
     assert isinstance(fleet.machines[1].request(500), Success)
 
 
@@ -791,7 +791,7 @@
     fleet = busy_fleet(limit=20_000)
     asked = []
     peers = fleet.machines[0].manager.spares
-    peers.request_from_peers = lambda *question: asked.append(question) or []
+    peers.request_from_peers = lambda *arguments: asked.append(arguments) or []
     peers.peer_count = lambda: 0
     for _ in range(3):
         assert isinstance(fleet.machines[0].request(50_000), Failure)
--- a/whinrack/budgets/tests/test_loss_of_power.py
+++ b/whinrack/budgets/tests/test_loss_of_power.py
@@ -86,8 +86,8 @@
     """A schedule that was 2.5 s old at the power loss withdrew 0.135 of the budget from use."""
     scenario = Scenario(1)
     scenario.run()
-    stated = scenario.supplier.manager._grants["b"].last_schedule
-    assert scenario.supplier.steady() - stated.steady <= _STEPS_OF_A_REPORT * _STEP_SECONDS + 0.01
+    schedule = scenario.supplier.manager._grants["b"].last_schedule
+    assert scenario.supplier.steady() - schedule.steady <= _STEPS_OF_A_REPORT * _STEP_SECONDS + 0.01
 
 
 def test_little_of_a_large_budget_is_out_of_use_after_all_lost_power():
--- a/whinrack/budgets/tests/test_schedule.py
+++ b/whinrack/budgets/tests/test_schedule.py
@@ -103,10 +103,10 @@
 def test_late_release_does_not_affect_a_run_started_since():
     """A slow writer may carry out a release when a third run already spends its own grant."""
     account = account_after(schedule=schedule(0))
-    asked = RunRelease("m.2", RestartTime(102.0, 1002.0, 3.5), find_earlier_runs(account, "m.2"))
+    release = RunRelease("m.2", RestartTime(102.0, 1002.0, 3.5), find_earlier_runs(account, "m.2"))
     newest = DrawOrder(account="a", budget="b", holder="m.3", sequence=1, need=200, opening=True)
     apply_draws(account, [newest])
-    release_earlier_runs(account, asked)
+    release_earlier_runs(account, release)
     rows = account.budgets["b"].rows
     assert (rows["m.1"].closed, rows["m.3"].closed) == (True, False)
     assert rows["m.3"].outstanding == 200
--- a/whinrack/journal/tests/test_journal.py
+++ b/whinrack/journal/tests/test_journal.py
@@ -68,10 +68,10 @@
 def test_committed_count_shows_which_records_are_committed():
     store = MemoryStore()
     writer = JournalWriter(store, "r.1")
-    mark = writer.add(record("w/1"))
+    expected_count = writer.add(record("w/1"))
     store.down = True
     assert not writer.commit()
-    assert writer.committed_count < mark
+    assert writer.committed_count < expected_count
     store.down = False
     assert writer.commit()
-    assert writer.committed_count >= mark
+    assert writer.committed_count >= expected_count
--- a/whinrack/requests/_memory.py
+++ b/whinrack/requests/_memory.py
@@ -14,11 +14,11 @@
 
 __all__ = [
     "ConsultDecision",
+    "ConsultReply",
     "HandoverEntry",
     "MemoryEntry",
     "RequestMemory",
     "RunState",
-    "ConsultReply",
 ]
 
 
--- a/whinrack/requests/tests/test_requests.py
+++ b/whinrack/requests/tests/test_requests.py
@@ -142,8 +142,8 @@
     first.claim(identity, DIGEST)
     assert isinstance(first.abandon(identity), Success)
     assert second.claim(identity, DIGEST).unwrap().holder == "b.1"
-    other = second.claim(identity, body_digest(b"x"))
-    assert evaluate_claim(other, "b.1", body_digest(b"x")).unwrap() is ClaimStatus.BODY_MISMATCH
+    mismatch = second.claim(identity, body_digest(b"x"))
+    assert evaluate_claim(mismatch, "b.1", body_digest(b"x")).unwrap() is ClaimStatus.BODY_MISMATCH
 
 
 def test_claim_fails_while_the_platform_is_unreachable():
