--- a/whinrack/budgets/_grant_manager.py
+++ b/whinrack/budgets/_grant_manager.py
@@ -172,7 +172,7 @@
             self._covers.ensure_usable(grant, need, draw=True)
 
     def create_supplied_grants(self) -> None:
-        """Draw the budgets that this run supplies before they are requested."""
+        """Create the grants of supplied budgets, to draw them before the first request."""
         for budget in self._orders.limited_budgets():
             if self.spares.is_supplier(budget):
                 self._grant(budget)
@@ -182,7 +182,7 @@
         self._grant(budget).ledger.receive(giver, total)
 
     def given_totals(self) -> Iterator[GivenTotal]:
-        """Yield the totals given to peers, which are told to them again before a stop."""
+        """Yield the totals given to peers, to be sent to them again before a stop."""
         for budget, grant in self._grants.items():
             for receiver, total in grant.ledger.given.items():
                 yield GivenTotal(budget, receiver, total)
@@ -239,7 +239,11 @@
         )
 
     def summary(self) -> str:
-        """Return the known state of every budget as text, for the log."""
+        """Return the known state of every budget, for the log.
+
+        Each entry has the form `budget:spendable/usable/free/outstanding/billed/limit@age`, where
+        `age` is the time since the state was requested, in seconds.
+        """
         now = self.clock()
         return " ".join(
             f"{name}:{grant.ledger.spendable}/{max(0, grant.usable(now))}"
