--- a/whinrack/budgets/tests/test_young_demand.py
+++ b/whinrack/budgets/tests/test_young_demand.py
@@ -13,7 +13,7 @@
 from whinrack.budgets.tests.test_grants import BUDGET, Fleet
 
 _LIMIT = 4_400_000
-# Demand in tokens per second, before and after the increase.
+# Peak demand in tokens per second, before and after the increase.
 _EARLY, _LATER = 40_000, 115_000
 _SIZES = (1_500, 2_500, 7_000, 13_000)
 _STEP_SECONDS = 0.05
