--- a/whinrack/budgets/__init__.py
+++ b/whinrack/budgets/__init__.py
@@ -1,4 +1,4 @@
-"""Prepaid budgets: books in the platform, grants at the instances, covers of requests."""
+"""Prepaid token budgets: stored accounts, grants held by instances, covers of requests."""
 
 from whinrack.budgets._account import (
     AccountRow,
@@ -16,7 +16,7 @@
     TransferTotal,
 )
 from whinrack.budgets._demand import DemandEstimate
-from whinrack.budgets._draw_results import draw_result, read_books, results_for_holder
+from whinrack.budgets._draw_results import draw_result, holder_result, results_for_holder
 from whinrack.budgets._grant import GrantOptions
 from whinrack.budgets._grant_manager import GrantManager
 from whinrack.budgets._ledger import BudgetLedger, Cover
@@ -36,13 +36,13 @@
 
 __all__ = [
     "ACCOUNT_KIND",
-    "AccountWriter",
-    "AccountRow",
     "AccountBackend",
+    "AccountRow",
+    "AccountWriter",
     "BudgetAccount",
     "BudgetEntry",
-    "BudgetManager",
     "BudgetLedger",
+    "BudgetManager",
     "Cover",
     "DemandEstimate",
     "DrawOrder",
@@ -53,19 +53,19 @@
     "ReleaseGuard",
     "ReleaseSchedule",
     "ReleasedRow",
-    "RunRelease",
     "RestartTime",
+    "RunRelease",
     "SpareTokenSource",
-    "TransferTotal",
     "TokenSource",
+    "TransferTotal",
     "WallClockReading",
     "account_name",
     "apply_draws",
     "apply_topups",
-    "results_for_holder",
     "draw_result",
-    "read_books",
     "find_earlier_runs",
+    "holder_result",
     "release_earlier_runs",
     "release_holder",
+    "results_for_holder",
 ]
--- a/whinrack/budgets/_budget_manager.py
+++ b/whinrack/budgets/_budget_manager.py
@@ -1,4 +1,4 @@
-"""Covers requests: from what is here, then the books, then the peers."""
+"""Covers for requests: from tokens held here, then from the account, then from peers."""
 
 import time
 from collections.abc import Callable, Iterable
@@ -14,33 +14,33 @@
 from whinrack.exceptions import BudgetContended, BudgetExhausted, Refusal, WhinrackError
 from whinrack.objects import Weighting
 
-__all__ = ["BudgetManager", "SpareTokenSource", "TransferTotal", "TokenSource"]
+__all__ = ["BudgetManager", "SpareTokenSource", "TokenSource", "TransferTotal"]
 
-_NO_FREE_FIRST = 0.5
-_NO_FREE_LONGEST = 5.0
+_MIN_NO_FREE_BACKOFF = 0.5
+_MAX_NO_FREE_BACKOFF = 5.0
 _NO_SPARE_SECONDS = 0.2
-_WISH_PAUSE = 10.0
+_DRAW_AHEAD_INTERVAL = 10.0
 _GATHER_WAIT = 1.0
 _GATHER_PAUSE = 0.1
-_IDLE_SURPLUS = 2
-_CONTENDED_RETRY = 1.0
+_SURPLUS_FACTOR = 2
+_CONTENDED_RETRY_AFTER = 1.0
 
 
 class TokenSource:
-    """Where orders go: the platform, or a peer that draws for its region."""
+    """Executor of orders: the platform, or a peer that draws for its region."""
 
     def draw(self, order: DrawOrder) -> Result[DrawResult, WhinrackError]:
-        """Apply an order and return the books' state."""
+        """Apply an order and return the state of the budget."""
         raise NotImplementedError
 
 
 class TransferTotal(NamedTuple):
-    """A peer's cumulative total of tokens that it gave to this incarnation.
+    """Cumulative total of tokens that a peer gave to this incarnation.
 
     Attributes
     ----------
-    covering : int
-        Tokens that the peer holds, as the books see it, but that requests use up there.
+    unreported_use : int
+        Tokens that the account counts as holding by the peer but that are reserved or used there.
     """
 
     giver: str
@@ -49,58 +49,58 @@
 
 
 class SpareTokenSource:
-    """The peers that may hold unspent tokens."""
+    """Peers that may hold unspent tokens."""
 
     def request_from_peers(
         self, budget: str, need: int, wish: int, received: dict[str, int]
     ) -> Iterable[TransferTotal]:
-        """Ask peers for tokens and yield what each has given in all."""
+        """Ask peers for tokens and yield the total that each has given so far."""
         raise NotImplementedError
 
     def peer_count(self) -> int:
-        """Return how many peers `gather` asks now."""
+        """Return the number of peers that `request_from_peers` asks now."""
         raise NotImplementedError
 
     def request_peer_draw(
         self, budget: str, need: int, wish: int, received: dict[str, int]
     ) -> Iterable[TransferTotal]:
-        """Ask a peer that reaches the books to draw for this run."""
+        """Ask a peer that can reach the account to draw for this run."""
         raise NotImplementedError
 
     def is_supplier(self, budget: str) -> bool:
-        """Whether this run draws a budget ahead for its peers too; by default for itself."""
+        """Return whether this run draws the budget ahead; by default only for itself."""
         return True
 
     def supplier(self, budget: str) -> str:
-        """Return the instance that draws a budget ahead, empty for this one; for logs."""
+        """Return the instance that draws the budget ahead, "" for this one; used in logs."""
         return ""
 
     def request_from_supplier(
         self, budget: str, need: int, wish: int, received: dict[str, int]
     ) -> Iterable[TransferTotal]:
-        """Ask the peer that draws a budget ahead for all."""
+        """Ask the peer that draws the budget ahead for all instances."""
         return ()
 
 
-class _Held:
-    """One budget's state in the keeper."""
+class _Holding:
+    """State of one budget in the manager."""
 
     def __init__(self, ledger: BudgetLedger, lock: AbstractContextManager):
         self.ledger = ledger
         self.lock = lock
         self.demand = DemandEstimate()
-        # Until then the books aren't asked, since they had nothing free.
+        # No draw is tried until then, since the account had nothing free.
         self.no_free_until = 0.0
-        self.no_free_seconds = _NO_FREE_FIRST
-        # Until then the peers aren't asked, since they had nothing either.
+        self.no_free_backoff = _MIN_NO_FREE_BACKOFF
+        # The peers aren't asked until then, since they had nothing either.
         self.no_spare_until = 0.0
-        self.reported_at = 0.0
-        self.wished_at = float("-inf")
-        self.last: DrawResult | None = None
+        self.last_report_at = 0.0
+        self.last_draw_ahead_at = float("-inf")
+        self.last_result: DrawResult | None = None
 
 
 class BudgetManager:
-    """All budgets that this incarnation holds tokens of.
+    """Manages the tokens of paid budgets that this incarnation holds.
 
     Parameters
     ----------
@@ -108,17 +108,17 @@
         This incarnation.
     source : TokenSource
         Applies draw orders.
-    spares : SpareSource
-        Asked when the books have nothing free.
+    spares : SpareTokenSource
+        Asked when the account has no free tokens.
     report_after : float
-        Seconds for which settled amounts may stay unreported. They are safe meanwhile:
-        the books count them as outstanding, and the bills are in the journal.
+        Seconds for which settled amounts may stay unreported. They are not lost meanwhile: the
+        account counts them as outstanding, and the bills are in the journal.
     horizon : float
-        Seconds of demand that a draw should last for; how long the platform may be
-        away without requests being refused.
+        Seconds of demand that a draw should cover, which is how long the platform may be
+        unreachable without requests being refused.
     gather_wait : float
-        Seconds that a workspace which weighs false refusals more waits at the end of
-        a budget for tokens that other requests give back.
+        Seconds that a request of a workspace with the weighting `FALSE_REFUSALS` waits, when a
+        budget is nearly used up, for tokens that other requests release.
     clock, sleep, make_lock : callable, optional
         Replaced in tests.
     """
@@ -144,25 +144,25 @@
         self.clock = clock
         self.sleep = sleep
         self.make_lock = make_lock
-        self.stopping = False
-        self._holdings: dict[str, _Held] = {}
-        # Those with something to report, to draw ahead or to return.
-        self._active: dict[str, _Held] = {}
+        self.is_stopping = False
+        self._holdings: dict[str, _Holding] = {}
+        # Budgets that have something to report, to draw ahead or to return.
+        self._active: dict[str, _Holding] = {}
 
     def cover(
         self, account: str, budget: str, tokens: int, weighting: Weighting
     ) -> Result[Cover, Refusal]:
-        """Set tokens aside for one request, drawing more where that is needed."""
-        held = self._get(account, budget)
-        held.demand.record(tokens, self.clock())
-        cover = held.ledger.open(tokens)
+        """Reserve tokens for one request, drawing more if needed."""
+        holding = self._holding(account, budget)
+        holding.demand.record(tokens, self.clock())
+        cover = holding.ledger.open(tokens)
         if isinstance(cover, Success):
             return cover
         patience = self.gather_wait if weighting is Weighting.FALSE_REFUSALS else 0.0
         end = self.clock() + patience
         while True:
-            with held.lock:
-                cover = self._refill(held, tokens)
+            with holding.lock:
+                cover = self._refill(holding, tokens)
             if isinstance(cover, Success) or self.clock() >= end:
                 return cover
             if isinstance(cover.failure(), BudgetExhausted):
@@ -172,143 +172,155 @@
     def give(
         self, budget: str, receiver: str, already_received: int, need: int, wish: int = 0
     ) -> int:
-        """Hand tokens to a peer that ran out; returns the cumulative total.
+        """Give tokens to a peer that ran out; return the cumulative total.
 
-        What is settled here is reported soon, so that the peer learns what is left.
+        The amounts settled here are reported soon, so that the peer learns what is left.
         """
-        held = self._holdings.get(budget)
-        if held is None:
+        holding = self._holdings.get(budget)
+        if holding is None:
             return 0
-        held.reported_at = float("-inf")
-        self._active[budget] = held
-        return held.ledger.give(receiver, already_received, need, wish)
+        holding.last_report_at = float("-inf")
+        self._active[budget] = holding
+        return holding.ledger.give(receiver, already_received, need, wish)
 
     def report(self, include_idle: bool = False) -> int:
-        """Report settled amounts, draw ahead and return surplus.
+        """Report settled amounts, draw ahead and return surplus tokens.
+
+        Parameters
+        ----------
+        include_idle : bool
+            Also report budgets that have nothing new to report.
+
 
         Returns
         -------
         int
-            Orders that failed; they are sent again with the next report.
+            Number of orders that failed; they are sent again with the next report.
         """
         if include_idle:
             self._active.update(self._holdings)
-        return sum(self._report_one(held, include_idle) for held in list(self._active.values()))
+        return sum(
+            self._report_one(holding, include_idle) for holding in list(self._active.values())
+        )
 
     def drain(self) -> bool:
-        """Give everything back for a planned stop; True once the books know it."""
-        self.stopping = True
-        drained = [self._drain_one(held) for held in list(self._holdings.values())]
+        """Return all tokens for a planned stop; return True once the accounts have them."""
+        self.is_stopping = True
+        drained = [self._drain_one(holding) for holding in list(self._holdings.values())]
         return all(drained)
 
     def ledgers(self) -> list[BudgetLedger]:
         """Return the ledgers, for status and metrics."""
-        return [held.ledger for held in self._holdings.values()]
+        return [holding.ledger for holding in self._holdings.values()]
 
-    def _get(self, account: str, budget: str) -> _Held:
-        held = self._holdings.get(budget)
-        if held is None:
+    def _holding(self, account: str, budget: str) -> _Holding:
+        holding = self._holdings.get(budget)
+        if holding is None:
             ledger = BudgetLedger(account, budget, self.holder)
-            held = self._holdings[budget] = _Held(ledger, self.make_lock())
-        self._active[budget] = held
-        return held
+            holding = self._holdings[budget] = _Holding(ledger, self.make_lock())
+        self._active[budget] = holding
+        return holding
 
-    def _refill(self, held: _Held, tokens: int) -> Result[Cover, Refusal]:
-        ledger = held.ledger
+    def _refill(self, holding: _Holding, tokens: int) -> Result[Cover, Refusal]:
+        ledger = holding.ledger
         cover = ledger.open(tokens)
         if isinstance(cover, Success):
             return cover
-        for ask in (self._draw, self._gather):
-            ask(held, tokens - ledger.spendable)
+        for obtain in (self._draw, self._request_from_peers):
+            obtain(holding, tokens - ledger.spendable)
             cover = ledger.open(tokens)
             if isinstance(cover, Success):
                 return cover
-        return Failure(_refusal(held, tokens))
+        return Failure(_refusal(holding, tokens))
 
-    def _draw(self, held: _Held, need: int) -> None:
+    def _draw(self, holding: _Holding, need: int) -> None:
         now = self.clock()
-        if now < held.no_free_until:
+        if now < holding.no_free_until:
             return
-        want = self._want(held)
-        self._send(held, held.ledger.next_order(need=need, want=want))
+        want = self._wanted_tokens(holding)
+        self._send(holding, holding.ledger.next_order(need=need, want=want))
 
-    def _send(self, held: _Held, order: DrawOrder) -> bool:
-        held.reported_at = self.clock()
+    def _send(self, holding: _Holding, order: DrawOrder) -> bool:
+        holding.last_report_at = self.clock()
         result = self.source.draw(order)
         if isinstance(result, Failure):
-            held.last = None
+            holding.last_result = None
             return False
-        held.last = result.unwrap()
-        held.ledger.apply_result(order, held.last)
-        self._pace(held)
+        holding.last_result = result.unwrap()
+        holding.ledger.apply_result(order, holding.last_result)
+        self._update_no_free_backoff(holding)
         return True
 
-    def _pace(self, held: _Held) -> None:
-        """Ask books that have nothing free more and more rarely."""
-        if held.last.free > 0:
-            held.no_free_until = 0.0
-            held.no_free_seconds = _NO_FREE_FIRST
+    def _update_no_free_backoff(self, holding: _Holding) -> None:
+        """Double the time until the next draw, up to a maximum, while nothing is free."""
+        if holding.last_result.free > 0:
+            holding.no_free_until = 0.0
+            holding.no_free_backoff = _MIN_NO_FREE_BACKOFF
             return
-        held.no_free_until = self.clock() + held.no_free_seconds
-        held.no_free_seconds = min(_NO_FREE_LONGEST, 2 * held.no_free_seconds)
+        holding.no_free_until = self.clock() + holding.no_free_backoff
+        holding.no_free_backoff = min(_MAX_NO_FREE_BACKOFF, 2 * holding.no_free_backoff)
 
-    def _gather(self, held: _Held, need: int) -> None:
-        ledger, now = held.ledger, self.clock()
-        if now < held.no_spare_until:
+    def _request_from_peers(self, holding: _Holding, need: int) -> None:
+        ledger, now = holding.ledger, self.clock()
+        if now < holding.no_spare_until:
             return
         before = ledger.spendable
-        wish = self._want(held)
+        wish = self._wanted_tokens(holding)
         received = dict(ledger.received)
         for spare in self.spares.request_from_peers(ledger.budget, need, wish, received):
             ledger.receive(spare.giver, spare.total)
         if ledger.spendable < before + need:
-            held.no_spare_until = now + _NO_SPARE_SECONDS
+            holding.no_spare_until = now + _NO_SPARE_SECONDS
 
-    def _report_one(self, held: _Held, everything: bool) -> int:
-        ledger = held.ledger
-        if ledger.is_closed or self._idle(held):
+    def _report_one(self, holding: _Holding, include_idle: bool) -> int:
+        ledger = holding.ledger
+        if ledger.is_closed or self._is_idle(holding):
             self._active.pop(ledger.budget, None)
             return 0
         now = self.clock()
-        want = self._want(held)
-        surplus = ledger.spendable - _IDLE_SURPLUS * want
+        want = self._wanted_tokens(holding)
+        surplus = ledger.spendable - _SURPLUS_FACTOR * want
         if surplus > want:
-            ledger.give_back(surplus)
-        short = 0 if self.stopping or now < held.no_free_until else want - ledger.spendable
-        wish = short if short > want // 2 and now >= held.wished_at + _WISH_PAUSE else 0
-        due = ledger.has_unreported_totals and now >= held.reported_at + self.report_after
-        if not (wish or due or everything):
+            ledger.return_tokens(surplus)
+        short = 0 if self.is_stopping or now < holding.no_free_until else want - ledger.spendable
+        wish = (
+            short
+            if short > want // 2 and now >= holding.last_draw_ahead_at + _DRAW_AHEAD_INTERVAL
+            else 0
+        )
+        due = ledger.has_unreported_totals and now >= holding.last_report_at + self.report_after
+        if not (wish or due or include_idle):
             return 0
         if wish:
-            held.wished_at = now
-        with held.lock:
-            sent = self._send(held, ledger.next_order(want=wish))
+            holding.last_draw_ahead_at = now
+        with holding.lock:
+            sent = self._send(holding, ledger.next_order(want=wish))
         return 0 if sent else 1
 
-    def _want(self, held: _Held) -> int:
-        return held.demand.want(self.clock(), self.horizon)
+    def _wanted_tokens(self, holding: _Holding) -> int:
+        return holding.demand.expected_tokens(self.clock(), self.horizon)
 
-    def _idle(self, held: _Held) -> bool:
-        """Whether nothing is left to do for a budget until it is used again."""
-        ledger = held.ledger
+    def _is_idle(self, holding: _Holding) -> bool:
+        """Return whether nothing is left to do for a budget until it is used again."""
+        ledger = holding.ledger
         empty = ledger.spendable == 0 and ledger.open_cover == 0
-        return empty and not ledger.has_unreported_totals and not self._want(held)
+        return empty and not ledger.has_unreported_totals and not self._wanted_tokens(holding)
 
-    def _drain_one(self, held: _Held) -> bool:
-        ledger = held.ledger
+    def _drain_one(self, holding: _Holding) -> bool:
+        ledger = holding.ledger
         if ledger.sequence == 0 or ledger.is_closed:
             return True
-        with held.lock:
-            ledger.give_back(ledger.spendable)
-            return self._send(held, ledger.next_order(final=ledger.open_cover == 0))
+        with holding.lock:
+            ledger.return_tokens(ledger.spendable)
+            return self._send(holding, ledger.next_order(final=ledger.open_cover == 0))
 
 
-def _refusal(held: _Held, tokens: int) -> Refusal:
-    last = held.last
+def _refusal(holding: _Holding, tokens: int) -> Refusal:
+    last = holding.last_result
     if last is None:
         return BudgetContended(
             "the budget's books can't be reached and the tokens held here don't suffice",
-            retry_after=_CONTENDED_RETRY,
+            retry_after=_CONTENDED_RETRY_AFTER,
         )
     left = last.free + last.outstanding
     if tokens > left:
@@ -317,5 +329,5 @@
         )
     return BudgetContended(
         f"the request needs cover for {tokens} tokens, which other requests hold now",
-        retry_after=_CONTENDED_RETRY,
+        retry_after=_CONTENDED_RETRY_AFTER,
     )
--- a/whinrack/budgets/_draw_results.py
+++ b/whinrack/budgets/_draw_results.py
@@ -1,16 +1,16 @@
-"""What the books say to a holder."""
+"""State of accounts as reported to holders."""
 
 import msgspec
 
 from whinrack.budgets._account import AccountRow, BudgetAccount, DrawOrder, DrawResult
 
-__all__ = ["results_for_holder", "draw_result", "read_books"]
+__all__ = ["results_for_holder", "draw_result", "holder_result"]
 
 _NO_ROW = AccountRow()
 
 
-def read_books(account: BudgetAccount | None, budget: str, holder: str) -> DrawResult:
-    """Read what the books say of a budget, and of what a holder has of it."""
+def holder_result(account: BudgetAccount | None, budget: str, holder: str) -> DrawResult:
+    """Return the state of a budget and of a holder's share of it."""
     entry = account.budgets.get(budget) if account is not None else None
     if entry is None:
         return DrawResult(era=account.era if account is not None else None)
@@ -31,8 +31,8 @@
 
 
 def draw_result(account: BudgetAccount | None, order: DrawOrder) -> DrawResult:
-    """Read what the books say to the holder of an order."""
-    result = read_books(account, order.budget, order.holder)
+    """Return the state of the budget of an order, for the holder that sent it."""
+    result = holder_result(account, order.budget, order.holder)
     if account is None or order.opening or order.budget not in account.budgets:
         return result
     if order.holder in account.budgets[order.budget].rows:
@@ -43,8 +43,8 @@
 def results_for_holder(
     account: BudgetAccount | None, holder: str, orders: list[DrawOrder]
 ) -> dict[str, DrawResult]:
-    """Read the state of every budget for a holder, after its orders were applied."""
+    """Return the state of every budget for a holder, after its orders were applied."""
     names = account.budgets if account is not None else ()
-    books = {name: read_books(account, name, holder) for name in names}
-    books.update({order.budget: draw_result(account, order) for order in orders})
-    return books
+    results = {name: holder_result(account, name, holder) for name in names}
+    results.update({order.budget: draw_result(account, order) for order in orders})
+    return results
--- a/whinrack/budgets/_grant_manager.py
+++ b/whinrack/budgets/_grant_manager.py
@@ -1,10 +1,9 @@
-"""Keeps short grants of declared budgets: drawn ahead, reported often, found again.
+"""Short grants of declared budgets: drawn ahead, reported often and recovered after a crash.
 
-`BudgetKeeper` serves budgets that are paid in and grants that last for minutes. This
-keeper serves budgets whose limit the configuration declares, on machines that keep
-nothing: a grant lasts for some seconds of demand, long enough for an outage of the
-store, and its holder states a `ReleaseSchedule`, so that what a killed run did not use
-comes back with the next run.
+`BudgetManager` serves paid budgets with grants that last for minutes. This manager serves budgets
+whose limit the configuration declares, on machines without persistent state. A grant lasts for
+some seconds of demand, long enough for an outage of the store. Its holder declares a
+`ReleaseSchedule`, so that the next run can recover what a killed run did not use.
 """
 
 from collections.abc import Callable, Iterator
@@ -16,10 +15,10 @@
 from whinrack.budgets._account import DrawResult
 from whinrack.budgets._account_writer import AccountBackend
 from whinrack.budgets._budget_manager import SpareTokenSource
-from whinrack.budgets._covers import GrantCovers
+from whinrack.budgets._covers import CoverAllocator
 from whinrack.budgets._grant import Grant, GrantOptions
 from whinrack.budgets._ledger import BudgetLedger, Cover
-from whinrack.budgets._orders import BookOrders, call_here, unchecked_wall_clock
+from whinrack.budgets._orders import GrantOrders, call_directly, unchecked_wall_clock
 from whinrack.budgets._release import ReleasedRow, RunRelease
 from whinrack.budgets._schedule import RestartTime, WallClockReading
 from whinrack.clock import steady
@@ -32,7 +31,7 @@
 
 
 class GivenTotal(NamedTuple):
-    """Cumulative tokens of a budget that this run gave to another."""
+    """Cumulative tokens of a budget that this run gave to another one."""
 
     budget: str
     receiver: str
@@ -40,75 +39,75 @@
 
 
 class GrantManager:
-    """All grants of one run of an instance.
+    """Manages all grants of one run of an instance.
 
     Parameters
     ----------
     holder : str
-        This run.
+        Incarnation of this run.
     account : str
-        The object that holds the books.
-    books : BookSource
-        Applies orders to the books, and gives back what earlier runs held.
-    spares : SpareSource
-        Asked when the books have nothing free or can't be reached.
+        Name of the account object.
+    backend : AccountBackend
+        Applies orders to the account and recovers what earlier runs held.
+    spares : SpareTokenSource
+        Asked when the account has no free tokens or the store is unreachable.
     options : GrantOptions
     clock, make_lock : callable, optional
         Replaced in tests.
     wall_clock : callable, optional
-        Reads the time of day, and tells whether it was checked.
+        Reads the time of day and tells whether it was verified.
     isolate : callable, optional
-        Runs a function to its end even if its caller is given up, and returns what it
-        returns; None if that takes longer than the given seconds, None for any time.
+        Runs a function to completion even if its caller is cancelled. Returns its result, or None
+        if that takes longer than the given seconds; None as seconds means no limit.
     """
 
     def __init__(
         self,
         holder: str,
         account: str,
-        books: AccountBackend,
+        backend: AccountBackend,
         spares: SpareTokenSource,
         options: GrantOptions,
         clock: Callable[[], float] = steady,
         wall_clock: Callable[[], WallClockReading] = unchecked_wall_clock,
         make_lock: Callable[[], AbstractContextManager] = nullcontext,
-        isolate: Callable[[Callable, float | None], Result | None] = call_here,
+        isolate: Callable[[Callable, float | None], Result | None] = call_directly,
     ):
         self.holder = holder
         self.account = account
-        self.books = books
+        self.backend = backend
         self.spares = spares
         self.options = options
         self.clock = clock
         self.make_lock = make_lock
-        # Set once the peers are known, so that not every instance draws everything ahead.
+        # Set once the peers are known, so that not every instance draws all budgets ahead.
         self.can_draw_ahead = False
         self._grants: dict[str, Grant] = {}
-        self._orders = BookOrders(
-            self._grants, books, options, clock, wall_clock, isolate, spares.is_supplier
+        self._orders = GrantOrders(
+            self._grants, backend, options, clock, wall_clock, isolate, spares.is_supplier
         )
-        self._covers = GrantCovers(self._orders, spares, options, clock)
+        self._covers = CoverAllocator(self._orders, spares, options, clock)
 
     @property
     def is_store_reachable(self) -> bool:
-        """Whether the books can be reached, as far as is known."""
-        return self._orders.books_answer
+        """Whether the store can be reached, as far as is known."""
+        return self._orders.is_store_reachable
 
     @property
     def last_answer_at(self) -> float:
-        """When the books answered last, by the steady clock."""
-        return self._orders.answered_at
+        """Monotonic time when the store last answered an order."""
+        return self._orders.last_answer_at
 
     def set_limits(self, version: int, limits: dict[str, int]) -> None:
-        """Take in the limits of a newer version of the configuration."""
-        self._orders.declare(version, limits)
+        """Apply the limits of a newer version of the configuration."""
+        self._orders.set_limits(version, limits)
 
     def has_limit(self, budget: str) -> bool:
-        """Whether the configuration states a limit for a budget."""
-        return self._orders.limited(budget)
+        """Return whether the configuration declares a limit for a budget."""
+        return self._orders.has_limit(budget)
 
     def cover(self, budget: str, tokens: int) -> Result[Cover, Refusal]:
-        """Set tokens aside for one request: from here, from the books, from peers."""
+        """Reserve tokens for one request: held here, from the account, or from peers."""
         return self._covers.cover(self._grant(budget), tokens)
 
     def give(
@@ -120,17 +119,17 @@
         wish: int,
         draw: bool = False,
     ) -> int:
-        """Hand tokens to a peer that ran out; returns the cumulative total.
+        """Give tokens to a peer that ran out; return the cumulative total.
 
         Parameters
         ----------
         draw : bool
-            Draw from the books first what isn't here.
+            Whether to draw missing tokens from the account first.
 
         Notes
         -----
-        May block: what the schedule in the books doesn't release has to be stated there
-        before it is handed on.
+        May block: tokens that the stored schedule doesn't release must be covered by a new
+        schedule in the account before they are given away.
         """
         grant = self._grants.get(budget)
         if grant is None:
@@ -138,82 +137,82 @@
                 return 0
             grant = self._grant(budget)
         if grant.ledger.given.get(receiver, 0) <= already_received:
-            self._covers.make_usable(grant, need + wish, draw)
+            self._covers.ensure_usable(grant, need + wish, draw)
         usable = max(0, grant.usable(self.clock()))
         return grant.ledger.give(receiver, already_received, need, wish, usable)
 
     def give_as_supplier(
         self, budget: str, receiver: str, already_received: int, need: int, wish: int
     ) -> int:
-        """Hand tokens to a peer that this run draws a budget ahead for; never blocks.
+        """Give tokens to a peer that this run draws a budget ahead for; never block.
 
         Returns
         -------
         int
-            The cumulative total; unchanged where what may be used at once doesn't suffice.
+            Cumulative total, unchanged if the usable tokens don't meet the need.
         """
         if not self.has_limit(budget):
             return 0
         grant, now = self._grant(budget), self.clock()
-        grant.largest = max(grant.largest, need)
+        grant.largest_request = max(grant.largest_request, need)
         usable = grant.usable(now)
         before = grant.ledger.given.get(receiver, 0)
         if usable < need and before <= already_received:
             return before
         total = grant.ledger.give(receiver, already_received, need, wish, usable)
-        grant.lent_at = now
-        # What is used elsewhere is demand here: it is drawn ahead for all.
+        grant.last_lent_at = now
+        # Use by peers counts as demand here, because this run draws ahead for all of them.
         grant.demand.record(total - before, now)
         return total
 
     def draw_for_peer(self, budget: str, need: int) -> None:
-        """Draw at once where a peer's need would not be met from here; may block."""
+        """Draw immediately if a peer's need could not be met from here; may block."""
         grant = self._grants.get(budget)
         if grant is not None:
-            self._covers.make_usable(grant, need, draw=True)
+            self._covers.ensure_usable(grant, need, draw=True)
 
-    def open_ahead(self) -> None:
-        """Draw the budgets that this run supplies before anybody asks for them."""
+    def create_supplied_grants(self) -> None:
+        """Create the grants of supplied budgets, to draw them before the first request."""
         for budget in self._orders.limited_budgets():
             if self.spares.is_supplier(budget):
                 self._grant(budget)
 
     def receive(self, budget: str, giver: str, total: int) -> None:
-        """Take in what a peer has given in all, also when nobody waits for it any more."""
+        """Record the total that a peer has given, also if no request waits for it any more."""
         self._grant(budget).ledger.receive(giver, total)
 
     def given_totals(self) -> Iterator[GivenTotal]:
-        """Yield what was given to peers, for telling them again before a stop."""
+        """Yield the totals given to peers, to be sent to them again before a stop."""
         for budget, grant in self._grants.items():
             for receiver, total in grant.ledger.given.items():
                 yield GivenTotal(budget, receiver, total)
 
     def renew(self) -> Result[None, PlatformFailure]:
-        """Report what was used, draw ahead and state new schedules, all in one write."""
+        """Report use, draw ahead and renew schedules, all in one write."""
         if self.can_draw_ahead:
-            self.open_ahead()
-        due = [grant for grant in self._grants.values() if self._orders.due(grant)]
+            self.create_supplied_grants()
+        due = [grant for grant in self._grants.values() if self._orders.is_due(grant)]
         if not due:
             return Success(None)
-        return self._orders.send([self._orders.order(grant) for grant in due])
+        return self._orders.send([self._orders.make_order(grant) for grant in due])
 
     def handle_store_restored(self, era: int) -> None:
-        """Learn that the store came back from a copy; the next round states all grants again."""
-        self._orders.restate(era)
+        """Record that the store was restored; the next round reports all grants again."""
+        self._orders.handle_store_restored(era)
 
     def handle_store_reachable(self) -> None:
-        """Learn from others' calls that the books can be reached again."""
-        self._orders.regained()
+        """Record that other calls show the store to be reachable again."""
+        self._orders.handle_store_reachable()
 
     def drain(self, final: bool) -> Result[None, PlatformFailure]:
-        """Give everything unused back for a planned stop.
+        """Return everything unused for a planned stop.
 
         Parameters
         ----------
         final : bool
             This run ends now: count open requests in full and close the rows.
         """
-        self._orders.stopping = True
+        self._orders.is_stopping = True
         orders = []
         for grant in self._grants.values():
             ledger = grant.ledger
@@ -221,57 +220,61 @@
                 continue
             if final:
                 ledger.write_off_open()
-            orders.append(self._orders.order(grant, final=final))
-            # From here on nothing is used, given or drawn any more.
+            orders.append(self._orders.make_order(grant, final=final))
+            # From here on nothing is used, given or drawn.
             ledger.is_closed = final
         return self._orders.send(orders) if orders else Success(None)
 
     def release_earlier_runs(
         self, restart: RestartTime
     ) -> Result[list[ReleasedRow], PlatformFailure]:
-        """Give back what earlier runs of this instance held and can't have used."""
-        ended = self.books.find_earlier_runs(self.account, self.holder)
+        """Recover what earlier runs of this instance held and can't have used."""
+        ended = self.backend.find_earlier_runs(self.account, self.holder)
         if isinstance(ended, Failure):
             return ended
         if not ended.unwrap():
             return Success([])
-        return self.books.release_runs(
+        return self.backend.release_runs(
             self.account, RunRelease(self.holder, restart, ended.unwrap())
         )
 
     def summary(self) -> str:
-        """Return what is known of every budget, for the log."""
+        """Return the known state of every budget, for the log.
+
+        Each entry has the form `budget:spendable/usable/free/outstanding/billed/limit@age`, where
+        `age` is the time since the state was requested, in seconds.
+        """
         now = self.clock()
         return " ".join(
             f"{name}:{grant.ledger.spendable}/{max(0, grant.usable(now))}"
-            f"/{grant.last.free}/{grant.last.outstanding}/{grant.last.billed}"
+            f"/{grant.last_result.free}/{grant.last_result.outstanding}/{grant.last_result.billed}"
             f"/{self._orders.limit(name)}"
-            f"@{now - grant.learnt_at:.1f}"
+            f"@{now - grant.last_result_at:.1f}"
             for name, grant in self._grants.items()
-            if grant.last is not None
+            if grant.last_result is not None
         )
 
     def spendable(self) -> dict[str, int]:
-        """Return the unspent tokens here, by budget."""
+        """Return the spendable tokens held here, by budget."""
         return {name: grant.ledger.spendable for name, grant in self._grants.items()}
 
     @property
     def has_spendable_tokens(self) -> bool:
-        """Whether a peer may have tokens from here."""
+        """Whether a peer may obtain tokens from here."""
         return any(grant.ledger.spendable > 0 for grant in self._grants.values())
 
     def unreported_use(self, budget: str) -> int:
-        """Return the tokens of a budget that requests use up here, unknown to the books."""
+        """Return the tokens of a budget that are reserved or used here but not yet reported."""
         grant = self._grants.get(budget)
         return grant.ledger.unreported_use if grant is not None else 0
 
     def last_result(self, budget: str) -> DrawResult | None:
-        """Return the books' state when they answered last, for logs."""
+        """Return the last known state of a budget, for logs."""
         grant = self._grants.get(budget)
-        return grant.last if grant is not None else None
+        return grant.last_result if grant is not None else None
 
     def supplier(self, budget: str) -> str:
-        """Return the instance that draws a budget ahead, empty for this one; for logs."""
+        """Return the instance that draws a budget ahead, "" for this one; used in logs."""
         return self.spares.supplier(budget)
 
     def _grant(self, budget: str) -> Grant:
--- a/whinrack/requests/__init__.py
+++ b/whinrack/requests/__init__.py
@@ -1,4 +1,4 @@
-"""Requests: identity through retries, memory, claims and bounds on their tokens."""
+"""Requests: identity across retries, memory, claims and bounds on their tokens."""
 
 from whinrack.requests._claims import (
     CLAIM_KIND,
@@ -35,23 +35,23 @@
     "CLAIM_KIND",
     "ChatMessage",
     "ChatRequest",
-    "ClaimStore",
     "ClaimStatus",
+    "ClaimStore",
     "ConsultDecision",
+    "ConsultReply",
     "HandoverEntry",
-    "RequestIdentity",
     "MemoryEntry",
     "RequestClaim",
+    "RequestIdentity",
     "RequestMemory",
     "RunState",
     "Ticket",
-    "ConsultReply",
     "body_digest",
-    "reject_unbounded_fields",
-    "request_token_bound",
+    "decode_ticket",
+    "encode_ticket",
     "evaluate_claim",
     "new_request_id",
     "output_token_limit",
-    "decode_ticket",
-    "encode_ticket",
+    "reject_unbounded_fields",
+    "request_token_bound",
 ]
