--- a/whinrack/feed/_config_store.py
+++ b/whinrack/feed/_config_store.py
@@ -12,7 +12,7 @@
 __all__ = ["ConfigStore", "ConfigView"]
 
 
-def _version_of(row: tuple[int, str, str]) -> int:
+def _row_version(row: tuple[int, str, str]) -> int:
     return row[0]
 
 
@@ -53,7 +53,7 @@
         self.revision = 0
         self._newest = 0
         self._stored: dict[tuple[str, str], StoredObject] = {}
-        self._versions: list[tuple[int, str, str]] = []
+        self._version_index: list[tuple[int, str, str]] = []
 
     @property
     def newest_version(self) -> int:
@@ -69,9 +69,9 @@
         if stored.kind not in DECLARED_KINDS:
             return False
         self._stored[key] = stored
-        self._index(held, stored)
+        self._update_version_index(held, stored)
         self._newest = max(self._newest, stored.version)
-        self._apply(stored)
+        self._apply_spec(stored)
         return True
 
     def apply_batch(self, revision: int, objects: Iterable[StoredObject]) -> int:
@@ -98,8 +98,8 @@
 
     def changes_after(self, revision: int) -> list[StoredObject]:
         """Return the objects whose last change is after a revision, deletions too."""
-        start = bisect.bisect_right(self._versions, revision, key=_version_of)
-        return [self._stored[kind, name] for _, kind, name in self._versions[start:]]
+        start = bisect.bisect_right(self._version_index, revision, key=_row_version)
+        return [self._stored[kind, name] for _, kind, name in self._version_index[start:]]
 
     def versions(self) -> dict[str, int]:
         """Return the version in force of each object, by `kind/name`."""
@@ -109,14 +109,14 @@
             if not stored.deleted
         }
 
-    def _index(self, held: StoredObject | None, stored: StoredObject) -> None:
+    def _update_version_index(self, held: StoredObject | None, stored: StoredObject) -> None:
         """Keep the list of versions in order, so that recent changes are found at once."""
         if held is not None:
             old = (held.version, held.kind, held.name)
-            del self._versions[bisect.bisect_left(self._versions, old)]
-        bisect.insort(self._versions, (stored.version, stored.kind, stored.name))
+            del self._version_index[bisect.bisect_left(self._version_index, old)]
+        bisect.insort(self._version_index, (stored.version, stored.kind, stored.name))
 
-    def _apply(self, stored: StoredObject) -> None:
+    def _apply_spec(self, stored: StoredObject) -> None:
         specs = self._specs[stored.kind]
         if stored.deleted:
             specs.pop(stored.name, None)
--- a/whinrack/gossip/_capacity.py
+++ b/whinrack/gossip/_capacity.py
@@ -8,7 +8,7 @@
 __all__ = ["Capacity", "has_high_capacity", "prefer_high_capacity", "max_capacity"]
 
 # An instance with at least this part of the widest link and of the most cores is strong.
-_STRONG_PART = 0.5
+_HIGH_CAPACITY_SHARE = 0.5
 
 
 class Capacity(NamedTuple):
@@ -29,8 +29,8 @@
 
 def has_high_capacity(state: PeerState, best: Capacity) -> bool:
     """Whether an instance has a wide link and many cores, compared with the best."""
-    wide = state.bandwidth >= _STRONG_PART * best.bandwidth
-    return wide and state.cores >= _STRONG_PART * best.cores
+    wide = state.bandwidth >= _HIGH_CAPACITY_SHARE * best.bandwidth
+    return wide and state.cores >= _HIGH_CAPACITY_SHARE * best.cores
 
 
 def prefer_high_capacity(states: Iterable[PeerState]) -> list[PeerState]:
--- a/whinrack/gossip/_clock_check.py
+++ b/whinrack/gossip/_clock_check.py
@@ -5,29 +5,29 @@
 __all__ = ["ClockCheck"]
 
 # Heartbeats of a peer that are compared; the one that was under way the shortest counts.
-_KEPT_BEATS = 4
+_SAMPLES_PER_PEER = 4
 # A peer's word on the time is used for so long, seconds.
-_FRESH_SECONDS = 2.0
+_SAMPLE_LIFETIME_SECONDS = 2.0
 # Clocks that differ by no more than this agree, seconds.
-_AGREEMENT_SECONDS = 0.15
-_FEWEST_AGREEING_PEERS = 2
+_TOLERANCE_SECONDS = 0.15
+_MIN_AGREEING_PEERS = 2
 
 
 class _PeerClock:
     """The differences between a peer's time of day and the steady clock here."""
 
     def __init__(self):
-        self.differences: deque[float] = deque(maxlen=_KEPT_BEATS)
-        self.heard_at = float("-inf")
+        self.offsets: deque[float] = deque(maxlen=_SAMPLES_PER_PEER)
+        self.updated_at = float("-inf")
 
     def record(self, wall: float, steady: float) -> None:
-        self.differences.append(wall - steady)
-        self.heard_at = steady
+        self.offsets.append(wall - steady)
+        self.updated_at = steady
 
     @property
-    def difference(self) -> float:
+    def offset(self) -> float:
         """The least delayed one: a delay makes a peer's time look earlier."""
-        return max(self.differences)
+        return max(self.offsets)
 
 
 class ClockCheck:
@@ -51,8 +51,10 @@
         """Whether most peers agree with the time of day here."""
         own = wall - steady
         fresh = [
-            clock for clock in self._clocks.values() if steady - clock.heard_at <= _FRESH_SECONDS
+            clock
+            for clock in self._clocks.values()
+            if steady - clock.updated_at <= _SAMPLE_LIFETIME_SECONDS
         ]
-        agreeing = sum(abs(clock.difference - own) <= _AGREEMENT_SECONDS for clock in fresh)
+        agreeing = sum(abs(clock.offset - own) <= _TOLERANCE_SECONDS for clock in fresh)
         most = agreeing + 1 > (len(fresh) + 1) / 2
-        return most and agreeing >= _FEWEST_AGREEING_PEERS
+        return most and agreeing >= _MIN_AGREEING_PEERS
--- a/whinrack/gossip/_draw_coordinator.py
+++ b/whinrack/gossip/_draw_coordinator.py
@@ -29,27 +29,27 @@
 _AVOID_SECONDS = 2.0
 # For so long the reply of a writer that has accepted orders is waited for: a slow store
 # makes both slow, and writing beside the writer would only collide with it.
-_WRITING_SECONDS = 2.0
+_WRITE_TIMEOUT_SECONDS = 2.0
 # Writers that are asked one after the other before an instance writes by itself: many that
 # write at once mostly collide.
-_MOST_WRITERS_ASKED = 2
+_MAX_WRITERS_ASKED = 2
 
 
-class _Question:
+class _PendingRequest:
     """What was sent to a writer, and what it said so far."""
 
     def __init__(self):
         self.accepted = Event()
         self.reply = Event()
 
-    def accept(self) -> None:
+    def mark_accepted(self) -> None:
         """Learn that the writer has the orders."""
         if not self.accepted.ready():
             self.accepted.send(None)
 
-    def answer(self, outcome: dict[str, DrawResult] | list[ReleasedRow] | None) -> None:
+    def complete(self, outcome: dict[str, DrawResult] | list[ReleasedRow] | None) -> None:
         """Learn the outcome; a second reply changes nothing."""
-        self.accept()
+        self.mark_accepted()
         if not self.reply.ready():
             self.reply.send(outcome)
 
@@ -59,7 +59,7 @@
         return self.reply.wait() if self.reply.ready() else None
 
     @property
-    def is_under_way(self) -> bool:
+    def is_in_progress(self) -> bool:
         """Whether the writer has the request and has not finished."""
         return self.accepted.ready() and not self.reply.ready()
 
@@ -100,17 +100,17 @@
         self.link = link
         self.peers = peers
         self.accept_timeout = accept_timeout
-        self._numbers = itertools.count(1)
-        self._open: dict[int, _Question] = {}
-        self._avoided: dict[str, float] = {}
+        self._request_ids = itertools.count(1)
+        self._pending: dict[int, _PendingRequest] = {}
+        self._avoid_until: dict[str, float] = {}
 
     def draw_for_holder(
         self, orders: list[DrawOrder]
     ) -> Result[dict[str, DrawResult], PlatformFailure]:
         """Apply one holder's orders for one account."""
-        return self._by_writer(
+        return self._delegate(
             orders[0].account,
-            lambda question: DrawRequest(question, orders),
+            lambda pending: DrawRequest(pending, orders),
             lambda: self.local.draw_for_holder(orders),
         )
 
@@ -126,16 +126,16 @@
         Through the writer too: when all instances restart at once, some tens of writes at
         the same time would mostly collide.
         """
-        return self._by_writer(
+        return self._delegate(
             account,
-            lambda question: ReleaseRequest(question, account, release),
+            lambda pending: ReleaseRequest(pending, account, release),
             lambda: self.local.release_runs(account, release),
         )
 
-    def _by_writer(
+    def _delegate(
         self,
         account: str,
-        request: Callable[[int], DrawRequest | ReleaseRequest],
+        make_request: Callable[[int], DrawRequest | ReleaseRequest],
         write_here: Callable[[], Result],
     ) -> Result:
         """Have the writer do something; another one, or this instance, if it can't.
@@ -143,17 +143,17 @@
         A writer that has accepted and is slow is left alone: whoever wrote beside it would
         collide with it, and make it slower still.
         """
-        for _ in range(_MOST_WRITERS_ASKED):
-            writer = self._writer(account)
+        for _ in range(_MAX_WRITERS_ASKED):
+            writer = self._choose_writer(account)
             if writer is None:
                 break
-            question = self._ask(writer, request)
-            outcome = question.outcome
+            pending = self._send_and_wait(writer, make_request)
+            outcome = pending.outcome
             if outcome is not None:
                 return Success(outcome)
-            if question.is_under_way:
+            if pending.is_in_progress:
                 return Failure(PlatformUnavailable("the writer has not finished yet"))
-            self._avoided[writer.state.sender.name] = steady() + _AVOID_SECONDS
+            self._avoid_until[writer.state.sender.name] = steady() + _AVOID_SECONDS
         return write_here()
 
     def handle_draw_request(self, request: DrawRequest, address: tuple[str, int]) -> None:
@@ -172,17 +172,17 @@
 
     def handle_acceptance(self, message: DrawAccepted) -> None:
         """Learn that a writer has orders of this instance."""
-        question = self._open.get(message.request_id)
-        if question is not None:
-            question.accept()
+        pending = self._pending.get(message.request_id)
+        if pending is not None:
+            pending.mark_accepted()
 
     def handle_reply(self, reply: DrawReply | ReleaseReply) -> None:
         """Take in a reply; one that comes too late is dropped, the books keep it."""
-        question = self._open.get(reply.request_id)
-        if question is not None:
-            question.answer(reply.results if isinstance(reply, DrawReply) else reply.rows)
+        pending = self._pending.get(reply.request_id)
+        if pending is not None:
+            pending.complete(reply.results if isinstance(reply, DrawReply) else reply.rows)
 
-    def _writer(self, account: str) -> PeerView | None:
+    def _choose_writer(self, account: str) -> PeerView | None:
         """Return the peer that writes an account, None if it is this instance."""
         now = steady()
         views = {
@@ -194,7 +194,7 @@
         for name in rendezvous(account, strong):
             if name == self.name:
                 return None
-            if self._avoided.get(name, 0.0) <= now:
+            if self._avoid_until.get(name, 0.0) <= now:
                 return views[name]
         return None
 
@@ -204,19 +204,19 @@
         reaching = [view.state for view in views.values()]
         return [*reaching, own] if own.store_confirmed or not reaching else reaching
 
-    def _ask(
-        self, writer: PeerView, request: Callable[[int], DrawRequest | ReleaseRequest]
-    ) -> _Question:
+    def _send_and_wait(
+        self, writer: PeerView, make_request: Callable[[int], DrawRequest | ReleaseRequest]
+    ) -> _PendingRequest:
         """Ask a writer and wait; first for its word that it has the request."""
-        number = next(self._numbers)
-        question = self._open[number] = _Question()
+        number = next(self._request_ids)
+        pending = self._pending[number] = _PendingRequest()
         try:
-            self.link.send(request(number), writer.state.sender.address)
+            self.link.send(make_request(number), writer.state.sender.address)
             with Timeout(self.accept_timeout, False):
-                question.accepted.wait()
-            if question.accepted.ready():
-                with Timeout(_WRITING_SECONDS, False):
-                    question.reply.wait()
+                pending.accepted.wait()
+            if pending.accepted.ready():
+                with Timeout(_WRITE_TIMEOUT_SECONDS, False):
+                    pending.reply.wait()
         finally:
-            del self._open[number]
-        return question
+            del self._pending[number]
+        return pending
--- a/whinrack/gossip/_link.py
+++ b/whinrack/gossip/_link.py
@@ -10,7 +10,7 @@
 
 __all__ = ["GossipLink"]
 
-_MOST_BYTES = 65_000
+_MAX_DATAGRAM_BYTES = 65_000
 
 
 class GossipLink:
@@ -44,18 +44,18 @@
         self._encoder = msgspec.msgpack.Encoder()
         self._decoder = msgspec.msgpack.Decoder(Message)
         self._socket = None
-        self._receiver = None
+        self._receive_thread = None
 
     def start(self) -> None:
         """Bind and receive in the background."""
         self._socket = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         self._socket.bind(self.address)
         self.address = self._socket.getsockname()
-        self._receiver = eventlet.spawn(self._receive_all)
+        self._receive_thread = eventlet.spawn(self._receive_all)
 
     def stop(self) -> None:
         """Receive no more."""
-        eventlet.kill(self._receiver)
+        eventlet.kill(self._receive_thread)
         self._socket.close()
 
     def send(self, message: Message, address: tuple[str, int]) -> None:
@@ -71,7 +71,7 @@
     def _receive_all(self) -> None:
         while True:
             try:
-                data, address = self._socket.recvfrom(_MOST_BYTES)
+                data, address = self._socket.recvfrom(_MAX_DATAGRAM_BYTES)
             except OSError:
                 # A peer's dead port, reported back.
                 eventlet.sleep(0.01)
--- a/whinrack/gossip/_messages.py
+++ b/whinrack/gossip/_messages.py
@@ -286,7 +286,7 @@
 )
 
 
-_WITH_STATES = "+states"
+_WITH_STATES_SUFFIX = "+states"
 
 
 def message_name(message: Message) -> str:
@@ -296,5 +296,5 @@
     """
     name = message.__struct_config__.tag
     if isinstance(message, Heartbeat) and message.passed_on:
-        return name + _WITH_STATES
+        return name + _WITH_STATES_SUFFIX
     return name
--- a/whinrack/gossip/_peers.py
+++ b/whinrack/gossip/_peers.py
@@ -19,19 +19,19 @@
 __all__ = ["PeerTable", "PeerView", "Receivers"]
 
 # Instances up to which all hear each other.
-_FULL_MESH = 12
+_FULL_MESH_LIMIT = 12
 # Beyond that: peers that one heartbeat goes to, those of them in the own data hall, and
 # addresses that nothing was heard from which are tried beside.
 _FANOUT = 6
 _FANOUT_IN_HALL = 5
-_UNHEARD_TRIED = 2
+_MAX_UNHEARD_TRIED = 2
 # Heartbeats that pass a new state on, and most states in one of them.
-_TIMES_PASSED_ON = 4
-_MOST_PASSED_ON = 24
+_MAX_TIMES_PASSED_ON = 4
+_MAX_STATES_PASSED_ON = 24
 # In a larger fleet heartbeats are so many times rarer, and silence so many times longer.
-_SLOWER_BEATS = 2.0
-_LONGER_SILENCE = 4.0
-_AGE_UNITS = 100.0
+_LARGE_FLEET_INTERVAL_FACTOR = 2.0
+_LARGE_FLEET_SILENCE_FACTOR = 4.0
+_AGE_UNITS_PER_SECOND = 100.0
 
 
 class PeerView:
@@ -51,9 +51,9 @@
         self.state = state
         self.heard_at = heard_at
         self.number = number
-        self.passed_on = 0
+        self.times_passed_on = 0
 
-    def is_run(self, state: PeerState) -> bool:
+    def is_same_run(self, state: PeerState) -> bool:
         """Whether a state is of the same run of the instance."""
         return self.state.incarnation == state.incarnation
 
@@ -103,55 +103,55 @@
         self.silent_seconds = silent_seconds
         self.forget_seconds = forget_seconds
         self._views: dict[str, PeerView] = {}
-        self._names: dict[int, str] = {}
-        self._addresses: dict[tuple[str, int], float] = {}
+        self._names_by_digest: dict[int, str] = {}
+        self._address_seen_at: dict[tuple[str, int], float] = {}
         self._random = random.Random(seed)
-        self._near_turns: list[tuple[str, int]] = []
-        self._far_turns: list[tuple[str, int]] = []
-        self._lacks_states = False
+        self._own_hall_queue: list[tuple[str, int]] = []
+        self._other_halls_queue: list[tuple[str, int]] = []
+        self._is_missing_states = False
         # Digests of this instance's own runs, as peers know them.
         self._own_digests: set[int] = set()
-        self._halls: dict[str, str] = {}
+        self._halls_by_host: dict[str, str] = {}
 
     @property
     def is_full_mesh(self) -> bool:
         """Whether the fleet is so small that all hear each other."""
-        return len(self._views) < _FULL_MESH
+        return len(self._views) < _FULL_MESH_LIMIT
 
     def heartbeat_interval(self, seconds: float) -> float:
         """Return the time between heartbeats, given that of a full mesh."""
-        return seconds if self.is_full_mesh else seconds * _SLOWER_BEATS
+        return seconds if self.is_full_mesh else seconds * _LARGE_FLEET_INTERVAL_FACTOR
 
     def add_addresses(self, addresses: Iterable[tuple[str, int]], now: float) -> None:
         """Learn where instances may be, from settings, a list or a peer."""
         for address in addresses:
-            self._addresses.setdefault(address, now)
+            self._address_seen_at.setdefault(address, now)
 
     def record_heartbeat(self, beat: Heartbeat, now: float) -> bool:
         """Take in a heartbeat; True if the run wasn't known, or counted as gone."""
-        if beat.state.sender.name == self.name or self._is_old(beat):
+        if beat.state.sender.name == self.name or self._is_outdated(beat):
             return False
-        is_new = self._learn(beat.state, now, now)
+        is_new = self._merge_state(beat.state, now, now)
         view = self._views.get(beat.state.sender.name)
-        if view is not None and view.is_run(beat.state):
+        if view is not None and view.is_same_run(beat.state):
             view.number = beat.number
             view.heard_at = now
         self.add_addresses((peer.address for peer in beat.peers), now)
-        if self.is_full_mesh and len(beat.ages) < _FULL_MESH:
+        if self.is_full_mesh and len(beat.ages) < _FULL_MESH_LIMIT:
             addresses = (state.sender.address for state in beat.passed_on)
             self.add_addresses(addresses, now)
         else:
             # A sender that hears so many others is in a large fleet, and so is this instance.
-            self._learn_of_others(beat, now)
+            self._merge_reported_peers(beat, now)
         return is_new
 
     def data_hall_of(self, host: str) -> str | None:
         """Return the data hall of the instance at an IP address, None if it isn't known."""
-        return self._halls.get(host)
+        return self._halls_by_host.get(host)
 
     def pop_missing_states_flag(self) -> bool:
         """Return whether states of live peers are lacking, once."""
-        lacks, self._lacks_states = self._lacks_states, False
+        lacks, self._is_missing_states = self._is_missing_states, False
         return lacks
 
     def live_peers(self, now: float) -> list[PeerView]:
@@ -216,17 +216,17 @@
 
     def next_receivers(self, now: float) -> Receivers:
         """Return the addresses to send the next heartbeat to."""
-        self._forget(now)
+        self._remove_expired(now)
         if self.is_full_mesh:
-            return Receivers(own_hall=list(self._addresses), other_halls=[])
+            return Receivers(own_hall=list(self._address_seen_at), other_halls=[])
         live = self.live_peers(now)
         near = {view.state.sender.address for view in live if self.is_in_own_hall(view.state)}
         far = {view.state.sender.address for view in live} - near
-        unheard = [address for address in self._addresses if address not in near | far]
-        tried = self._random.sample(unheard, min(_UNHEARD_TRIED, len(unheard)))
+        unheard = [address for address in self._address_seen_at if address not in near | far]
+        tried = self._random.sample(unheard, min(_MAX_UNHEARD_TRIED, len(unheard)))
         in_hall = max(_FANOUT_IN_HALL, _FANOUT - len(far))
-        chosen = self._next_in_turn(self._near_turns, near, in_hall)
-        others = self._next_in_turn(self._far_turns, far, _FANOUT - len(chosen))
+        chosen = self._next_in_turn(self._own_hall_queue, near, in_hall)
+        others = self._next_in_turn(self._other_halls_queue, far, _FANOUT - len(chosen))
         return Receivers(own_hall=chosen, other_halls=[*others, *tried])
 
     def is_in_own_hall(self, state: PeerState) -> bool:
@@ -251,10 +251,12 @@
         """Return states that are to be passed on, those told least often first."""
         if self.is_full_mesh:
             return []
-        fresh = [view for view in self.live_peers(now) if view.passed_on < _TIMES_PASSED_ON]
-        chosen = sorted(fresh, key=lambda view: view.passed_on)[:_MOST_PASSED_ON]
+        fresh = [
+            view for view in self.live_peers(now) if view.times_passed_on < _MAX_TIMES_PASSED_ON
+        ]
+        chosen = sorted(fresh, key=lambda view: view.times_passed_on)[:_MAX_STATES_PASSED_ON]
         for view in chosen:
-            view.passed_on += 1
+            view.times_passed_on += 1
         return [view.state for view in chosen]
 
     def ages(self, now: float, own_hall_only: bool = False) -> dict[int, int]:
@@ -268,35 +270,35 @@
         if self.is_full_mesh:
             return {}
         return {
-            digest: round((now - view.heard_at) * _AGE_UNITS)
-            for digest, name in self._names.items()
+            digest: round((now - view.heard_at) * _AGE_UNITS_PER_SECOND)
+            for digest, name in self._names_by_digest.items()
             if self._is_live((view := self._views[name]).heard_at, now)
             and (not own_hall_only or self.is_in_own_hall(view.state))
         }
 
     # --- learning ----------------------------------------------------------------
 
-    def _is_old(self, beat: Heartbeat) -> bool:
+    def _is_outdated(self, beat: Heartbeat) -> bool:
         """Whether a later heartbeat of the same run came before."""
         known = self._views.get(beat.state.sender.name)
-        return known is not None and known.is_run(beat.state) and beat.number <= known.number
+        return known is not None and known.is_same_run(beat.state) and beat.number <= known.number
 
-    def _learn_of_others(self, beat: Heartbeat, now: float) -> None:
+    def _merge_reported_peers(self, beat: Heartbeat, now: float) -> None:
         for state in beat.passed_on:
             if state.sender.name == self.name:
                 self._own_digests.add(state.digest)
             age = beat.ages.get(state.digest)
             if age is not None:
-                self._learn(state, now - age / _AGE_UNITS, now)
+                self._merge_state(state, now - age / _AGE_UNITS_PER_SECOND, now)
         for digest, age in beat.ages.items():
-            name = self._names.get(digest)
+            name = self._names_by_digest.get(digest)
             if name is not None:
                 view = self._views[name]
-                view.heard_at = max(view.heard_at, now - age / _AGE_UNITS)
-            elif self._is_lacking(digest, now - age / _AGE_UNITS, now):
-                self._lacks_states = True
+                view.heard_at = max(view.heard_at, now - age / _AGE_UNITS_PER_SECOND)
+            elif self._is_missing_state(digest, now - age / _AGE_UNITS_PER_SECOND, now):
+                self._is_missing_states = True
 
-    def _is_lacking(self, digest: int, heard_at: float, now: float) -> bool:
+    def _is_missing_state(self, digest: int, heard_at: float, now: float) -> bool:
         """Whether a live peer goes by a digest that isn't known here.
 
         The digests of this instance itself stand in no table of its own. Counted as lacking
@@ -305,51 +307,51 @@
         """
         return digest not in self._own_digests and self._is_live(heard_at, now)
 
-    def _learn(self, state: PeerState, heard_at: float, now: float) -> bool:
+    def _merge_state(self, state: PeerState, heard_at: float, now: float) -> bool:
         """Take in a state if it is newer; True if its run wasn't live before."""
         name = state.sender.name
         known = self._views.get(name)
         if name == self.name or not self._is_live(heard_at, now):
             return False
-        if known is not None and not known.is_run(state) and heard_at < known.heard_at:
+        if known is not None and not known.is_same_run(state) and heard_at < known.heard_at:
             # An earlier run, told late.
             return False
-        if known is not None and known.is_run(state):
+        if known is not None and known.is_same_run(state):
             was_live = self._is_live(known.heard_at, now)
             known.heard_at = max(known.heard_at, heard_at)
             if state.sequence > known.state.sequence:
-                known.state, known.passed_on = state, 0
+                known.state, known.times_passed_on = state, 0
             return not was_live
         if known is not None:
-            self._names.pop(known.state.digest, None)
+            self._names_by_digest.pop(known.state.digest, None)
         self._views[name] = PeerView(state, heard_at)
-        self._names[state.digest] = name
-        self._addresses[state.sender.address] = now
-        self._halls[state.sender.host] = state.data_hall
+        self._names_by_digest[state.digest] = name
+        self._address_seen_at[state.sender.address] = now
+        self._halls_by_host[state.sender.host] = state.data_hall
         return True
 
-    def _forget(self, now: float) -> None:
+    def _remove_expired(self, now: float) -> None:
         """Drop what nothing was heard of for long."""
         for view in self.live_peers(now):
-            self._addresses[view.state.sender.address] = now
-        for address, seen in list(self._addresses.items()):
+            self._address_seen_at[view.state.sender.address] = now
+        for address, seen in list(self._address_seen_at.items()):
             if now - seen > self.forget_seconds:
-                del self._addresses[address]
+                del self._address_seen_at[address]
         for name, view in list(self._views.items()):
             if now - view.heard_at > self.forget_seconds:
                 del self._views[name]
-                self._names.pop(view.state.digest, None)
-                self._halls.pop(view.state.sender.host, None)
+                self._names_by_digest.pop(view.state.digest, None)
+                self._halls_by_host.pop(view.state.sender.host, None)
 
     def _next_in_turn(
-        self, turns: list[tuple[str, int]], live: set[tuple[str, int]], count: int
+        self, queue: list[tuple[str, int]], live: set[tuple[str, int]], count: int
     ) -> list[tuple[str, int]]:
         """Return some live peers' addresses; all have had a turn before one has its second."""
         chosen: list[tuple[str, int]] = []
         while len(chosen) < min(count, len(live)):
-            if not turns:
-                turns.extend(self._random.sample(sorted(live), len(live)))
-            address = turns.pop()
+            if not queue:
+                queue.extend(self._random.sample(sorted(live), len(live)))
+            address = queue.pop()
             if address in live and address not in chosen:
                 chosen.append(address)
         return chosen
@@ -357,5 +359,5 @@
     def _is_live(self, heard_at: float, now: float) -> bool:
         longest = self.silent_seconds
         if not self.is_full_mesh:
-            longest *= _LONGER_SILENCE
+            longest *= _LARGE_FLEET_SILENCE_FACTOR
         return now - heard_at <= longest
--- a/whinrack/gossip/_token_source.py
+++ b/whinrack/gossip/_token_source.py
@@ -18,18 +18,18 @@
 __all__ = ["GossipTokenSource"]
 
 # A lender has to write to the store before it replies.
-_BORROW_FACTOR = 10
+_BORROW_TIMEOUT_FACTOR = 10
 # A supplier is asked twice, since datagrams get lost.
-_SUPPLY_FACTORS = (1, 1)
+_SUPPLY_TIMEOUT_FACTORS = (1, 1)
 # Peers that are asked for their spare tokens; in a large fleet the suppliers have most.
-_MOST_ASKED = 12
+_MAX_PEERS_ASKED = 12
 # For so long a supplier that didn't reply is passed over, seconds.
 _AVOID_SECONDS = 2.0
 # For so long the choice of a budget's supplier is kept, seconds.
-_CHOICE_SECONDS = 0.1
+_SUPPLIER_CACHE_SECONDS = 0.1
 
 
-class _Question:
+class _PendingQuery:
     """One round of requests and the replies so far."""
 
     def __init__(self, expected: int):
@@ -72,10 +72,10 @@
         self.link = link
         self.peers = peers
         self.reply_timeout = reply_timeout
-        self._numbers = itertools.count(1)
-        self._open: dict[int, _Question] = {}
-        self._avoided: dict[str, float] = {}
-        self._suppliers: dict[str, tuple[float, PeerView | None]] = {}
+        self._request_ids = itertools.count(1)
+        self._pending: dict[int, _PendingQuery] = {}
+        self._avoid_until: dict[str, float] = {}
+        self._supplier_cache: dict[str, tuple[float, PeerView | None]] = {}
 
     def is_supplier(self, budget: str) -> bool:
         """Whether this run draws a budget ahead for its peers too."""
@@ -94,28 +94,28 @@
         if supplier is None:
             return []
         request = self._request(budget, need, wish, to_supplier=True)
-        for factor in _SUPPLY_FACTORS:
+        for factor in _SUPPLY_TIMEOUT_FACTORS:
             replies = self._ask([supplier], request, received, factor * self.reply_timeout)
             if replies:
                 return replies
-        self._avoided[supplier.state.incarnation] = steady() + _AVOID_SECONDS
-        self._suppliers.clear()
+        self._avoid_until[supplier.state.incarnation] = steady() + _AVOID_SECONDS
+        self._supplier_cache.clear()
         return []
 
     def _supplier(self, budget: str) -> PeerView | None:
         """Return the peer that supplies a budget, None if it is this run."""
         now = steady()
-        chosen_at, view = self._suppliers.get(budget, (float("-inf"), None))
-        if now - chosen_at > _CHOICE_SECONDS:
+        chosen_at, view = self._supplier_cache.get(budget, (float("-inf"), None))
+        if now - chosen_at > _SUPPLIER_CACHE_SECONDS:
             view = self._choose_supplier(budget, now)
-            self._suppliers[budget] = now, view
+            self._supplier_cache[budget] = now, view
         return view
 
     def _choose_supplier(self, budget: str, now: float) -> PeerView | None:
         views = {
             view.state.sender.name: view
             for view in self.peers.ready(now)
-            if self._avoided.get(view.state.incarnation, 0.0) <= now
+            if self._avoid_until.get(view.state.incarnation, 0.0) <= now
         }
         states = [view.state for view in views.values()]
         own = self.own_state()
@@ -129,13 +129,13 @@
         self, budget: str, need: int, wish: int, received: dict[str, int]
     ) -> list[TransferTotal]:
         """Ask every peer that may hold some for what is needed; returns what each gave in all."""
-        views = self.peers.peers_with_tokens(steady())[:_MOST_ASKED]
+        views = self.peers.peers_with_tokens(steady())[:_MAX_PEERS_ASKED]
         request = self._request(budget, need, wish)
         return self._ask(views, request, received, self.reply_timeout)
 
     def peer_count(self) -> int:
         """Return how many peers `gather` asks now."""
-        return min(_MOST_ASKED, len(self.peers.peers_with_tokens(steady())))
+        return min(_MAX_PEERS_ASKED, len(self.peers.peers_with_tokens(steady())))
 
     def request_peer_draw(
         self, budget: str, need: int, wish: int, received: dict[str, int]
@@ -147,17 +147,19 @@
             return []
         lender = rendezvous(f"{self.holder}/{budget}", views)[0]
         request = self._request(budget, need, wish, allow_draw=True)
-        return self._ask([views[lender]], request, received, _BORROW_FACTOR * self.reply_timeout)
+        return self._ask(
+            [views[lender]], request, received, _BORROW_TIMEOUT_FACTOR * self.reply_timeout
+        )
 
     def handle_reply(self, reply: TokenReply) -> None:
         """Wake the asker with the last reply."""
-        question = self._open.get(reply.request_id)
-        if question is not None:
-            question.add(reply)
+        pending = self._pending.get(reply.request_id)
+        if pending is not None:
+            pending.add(reply)
 
     def _request(self, budget: str, need: int, wish: int, **flags: bool) -> TokenRequest:
         return TokenRequest(
-            request_id=next(self._numbers),
+            request_id=next(self._request_ids),
             budget=budget,
             receiver=self.holder,
             giver="",
@@ -172,11 +174,11 @@
         views: list[PeerView],
         request: TokenRequest,
         received: dict[str, int],
-        patience: float,
+        timeout: float,
     ) -> list[TransferTotal]:
         if not views:
             return []
-        question = self._open[request.request_id] = _Question(len(views))
+        pending = self._pending[request.request_id] = _PendingQuery(len(views))
         try:
             for view in views:
                 giver = view.state.incarnation
@@ -184,8 +186,8 @@
                     request, giver=giver, already_received=received.get(giver, 0)
                 )
                 self.link.send(addressed, view.state.sender.address)
-            with Timeout(patience, False):
-                question.done.wait()
+            with Timeout(timeout, False):
+                pending.done.wait()
         finally:
-            del self._open[request.request_id]
-        return list(question.replies.values())
+            del self._pending[request.request_id]
+        return list(pending.replies.values())
--- a/whinrack/gossip/tests/test_draw_coordinator.py
+++ b/whinrack/gossip/tests/test_draw_coordinator.py
@@ -171,7 +171,7 @@
 
 def test_a_writer_that_is_slow_is_left_alone(world, monkeypatch):
     """Instances that write beside a slow writer collide with it and slow it down further."""
-    monkeypatch.setattr("whinrack.gossip._draw_coordinator._WRITING_SECONDS", 0.05)
+    monkeypatch.setattr("whinrack.gossip._draw_coordinator._WRITE_TIMEOUT_SECONDS", 0.05)
     drawer, peers, link, books = world
     peers.record_heartbeat(beat("m0"), 0.0)
     slow_writer(drawer, link, 0.2, {"b": DrawResult(drawn=9)})
--- a/whinrack/gossip/tests/test_token_source.py
+++ b/whinrack/gossip/tests/test_token_source.py
@@ -120,7 +120,7 @@
     (other, *_) = budgets_of("a", ["a", "b", "c"])
     assert "c" not in supplier_asked(world, budget, beat("b"), beat("c", ready=False))
     world[0].own_state = lambda: beat("a", ready=False).state
-    world[0]._suppliers.clear()
+    world[0]._supplier_cache.clear()
     assert not world[0].is_supplier(other)
 
 
--- a/whinrack/membership/_members.py
+++ b/whinrack/membership/_members.py
@@ -11,9 +11,9 @@
 
 ROUTER_ROLE = "router"
 TARGET_ROLE = "target"
-_REMEMBER_LEAVING = 120.0
+_LEAVING_MEMORY_SECONDS = 120.0
 # Peers that each daemon exchanges heartbeats with in every round, both ways counted.
-FULL_MESH = 24
+_FULL_MESH_SIZE = 24
 
 
 class Member(msgspec.Struct, frozen=True, kw_only=True):
@@ -50,47 +50,47 @@
         self.name = name
         self.suspect_after = suspect_after
         self._members: dict[str, Member] = {}
-        self._heard: dict[str, float] = {}
-        self._listed: dict[str, InstanceRecord] = {}
-        self._leaving_instances: dict[str, float] = {}
+        self._heard_at: dict[str, float] = {}
+        self._listed_instances: dict[str, InstanceRecord] = {}
+        self._leaving_since: dict[str, float] = {}
 
     def record_heartbeat(self, member: Member, now: float) -> bool:
         """Take in a heartbeat or its reply; True if the peer looked dead before."""
         if member.name == self.name:
             return False
-        back = not self._alive(member.name, now)
+        back = not self._is_alive(member.name, now)
         self._members[member.name] = member
-        self._heard[member.name] = now
+        self._heard_at[member.name] = now
         return back
 
     def update_from_list(self, records: Iterable[InstanceRecord], now: float) -> None:
         """Take in the platform's list."""
-        self._listed = {record.name: record for record in records}
-        for record in self._listed.values():
+        self._listed_instances = {record.name: record for record in records}
+        for record in self._listed_instances.values():
             if record.state is InstanceState.LEAVING:
-                self._leaving_instances[record.name] = now
+                self._leaving_since[record.name] = now
 
     def add_leaving_instances(self, instances: Iterable[str], now: float) -> list[str]:
         """Take in a peer's word on leaving instances; returns the new ones."""
-        fresh = [name for name in instances if name not in self._leaving_instances]
+        fresh = [name for name in instances if name not in self._leaving_since]
         for name in fresh:
-            self._leaving_instances[name] = now
+            self._leaving_since[name] = now
         return fresh
 
     def leaving_instances(self, now: float) -> set[str]:
         """Return instances that any source says are leaving."""
-        for name, at in list(self._leaving_instances.items()):
-            record = self._listed.get(name)
+        for name, at in list(self._leaving_since.items()):
+            record = self._listed_instances.get(name)
             still = record is not None and record.state is InstanceState.LEAVING
-            if not still and now - at > _REMEMBER_LEAVING:
-                del self._leaving_instances[name]
-        return set(self._leaving_instances)
+            if not still and now - at > _LEAVING_MEMORY_SECONDS:
+                del self._leaving_since[name]
+        return set(self._leaving_since)
 
     def heartbeat_addresses(self, seeds: Iterable[str] = ()) -> list[str]:
         """Return the peer addresses to send heartbeats to."""
         listed = {
             record.peer_address
-            for record in self._listed.values()
+            for record in self._listed_instances.values()
             if record.role == ROUTER_ROLE and record.name != self.name
         }
         known = {member.peer_address for member in self._members.values()}
@@ -98,11 +98,13 @@
 
     def addresses_heard_since(self, moment: float) -> set[str]:
         """Return the peer addresses that were heard from after a moment."""
-        return {self._members[name].peer_address for name, at in self._heard.items() if at > moment}
+        return {
+            self._members[name].peer_address for name, at in self._heard_at.items() if at > moment
+        }
 
     def live_members(self, now: float) -> list[Member]:
         """Return the peers that look alive."""
-        return [member for name, member in self._members.items() if self._alive(name, now)]
+        return [member for name, member in self._members.items() if self._is_alive(name, now)]
 
     def find(self, incarnation: str) -> Member | None:
         """Return the peer that runs as an incarnation, alive or not."""
@@ -115,11 +117,11 @@
         """Drop peers that are neither listed nor heard for long; returns their names."""
         silent = [
             name
-            for name, at in self._heard.items()
-            if now - at > after and name not in self._listed
+            for name, at in self._heard_at.items()
+            if now - at > after and name not in self._listed_instances
         ]
         for name in silent:
-            del self._heard[name], self._members[name]
+            del self._heard_at[name], self._members[name]
         return silent
 
     def entry_points(self, own: Member, now: float, busy: int = 1_000_000) -> list[Member]:
@@ -165,12 +167,12 @@
         """Return the incarnations that may inherit a stopping home's memory."""
         return [member.incarnation for member in self.live_members(now) if not member.leaving]
 
-    def _alive(self, name: str, now: float) -> bool:
-        at = self._heard.get(name)
-        patience = self.suspect_after * max(1.0, len(self._members) / FULL_MESH)
+    def _is_alive(self, name: str, now: float) -> bool:
+        at = self._heard_at.get(name)
+        patience = self.suspect_after * max(1.0, len(self._members) / _FULL_MESH_SIZE)
         return at is not None and now - at <= patience
 
     def _is_leaving(self, member: Member) -> bool:
-        record = self._listed.get(member.name)
+        record = self._listed_instances.get(member.name)
         listed = record is not None and record.state is InstanceState.LEAVING
         return member.leaving or listed
--- a/whinrack/quarantine/_attribution.py
+++ b/whinrack/quarantine/_attribution.py
@@ -9,13 +9,13 @@
 
 from whinrack.quarantine._cases import Case, TargetEnd
 
-__all__ = ["MOST_ENDS_BORNE", "blamed"]
+__all__ = ["BLAME_THRESHOLD", "find_culprits"]
 
 # Ends under one request from which on it is kept out: the users' bound counts from the third.
-MOST_ENDS_BORNE = 3
+BLAME_THRESHOLD = 3
 
 
-def blamed(cases: Iterable[Case]) -> frozenset[str]:
+def find_culprits(cases: Iterable[Case]) -> frozenset[str]:
     """Return the fingerprints of the requests that are to blame.
 
     Those that were at the same number of ends are equally suspicious and blamed together: a
@@ -25,7 +25,7 @@
     found: set[str] = set()
     while unexplained:
         most = max(len(ends) for ends in unexplained.values())
-        if most < MOST_ENDS_BORNE:
+        if most < BLAME_THRESHOLD:
             break
         culprits = {name for name, ends in unexplained.items() if len(ends) == most}
         explained: set[TargetEnd] = set().union(*(unexplained[name] for name in culprits))
--- a/whinrack/quarantine/_case_store.py
+++ b/whinrack/quarantine/_case_store.py
@@ -7,8 +7,8 @@
 
 from whinrack.exceptions import NotFound, PlatformFailure
 from whinrack.observability import Event, log_event
-from whinrack.quarantine._cases import Case, merged
-from whinrack.quarantine._table import KEPT_SECONDS, MOST_SUSPECTS
+from whinrack.quarantine._cases import Case, merge_evidence
+from whinrack.quarantine._table import MAX_SUSPECTS, SUSPECT_LIFETIME_SECONDS
 from whinrack.quarantine._trials import seconds_until_trial
 from whinrack.store import ObjectEditor, ObjectStore
 
@@ -17,7 +17,7 @@
 _KIND = "Quarantine"
 _NAME = "main"
 # Tries of one write; what fails is tried again with the next change.
-_WRITES = 4
+_WRITE_ATTEMPTS = 4
 
 
 class StoredCases(msgspec.Struct, frozen=True):
@@ -38,11 +38,11 @@
 
     def __init__(self, store: ObjectStore, wall_clock: Callable[[], float]):
         self.wall_clock = wall_clock
-        self._editor = ObjectEditor(store, _KIND, msgspec.Raw, attempts=_WRITES)
+        self._editor = ObjectEditor(store, _KIND, msgspec.Raw, attempts=_WRITE_ATTEMPTS)
 
     def read(self) -> Result[tuple[Case, ...], PlatformFailure]:
         """Read the stored cases."""
-        result = self._editor.read(_NAME).map(_cases)
+        result = self._editor.read(_NAME).map(_decode_cases)
         if isinstance(result, Failure) and isinstance(result.failure(), NotFound):
             return Success(())
         return result
@@ -50,8 +50,8 @@
     def write(self, cases: Iterable[Case]) -> Result[tuple[Case, ...], PlatformFailure]:
         """Merge cases into the stored ones; returns what is stored then."""
         told = tuple(cases)
-        result = self._editor.apply(_NAME, lambda old: self._joined(old, told))
-        return result.map(_cases)
+        result = self._editor.apply(_NAME, lambda old: self._merge_into(old, told))
+        return result.map(_decode_cases)
 
     def claim_trial(self, case: Case) -> Result[bool, PlatformFailure]:
         """Take the next trial of a request for this instance; False if it isn't due.
@@ -63,29 +63,29 @@
 
         def take(old: msgspec.Raw | None) -> msgspec.Raw | None:
             nonlocal claimed
-            known = _by_fingerprint(old).get(case.fingerprint)
-            present = case if known is None else merged(known, case)
+            known = _decode_by_fingerprint(old).get(case.fingerprint)
+            present = case if known is None else merge_evidence(known, case)
             now = self.wall_clock()
             claimed = seconds_until_trial(present, now) == 0.0
-            return self._joined(old, (present.with_trial(now),)) if claimed else None
+            return self._merge_into(old, (present.with_trial(now),)) if claimed else None
 
         return self._editor.apply(_NAME, take).map(lambda _: claimed)
 
-    def _joined(self, old: msgspec.Raw | None, cases: tuple[Case, ...]) -> msgspec.Raw | None:
+    def _merge_into(self, old: msgspec.Raw | None, cases: tuple[Case, ...]) -> msgspec.Raw | None:
         """Return the stored cases with others, None if these change nothing."""
-        joined = _by_fingerprint(old)
+        joined = _decode_by_fingerprint(old)
         for case in cases:
             known = joined.get(case.fingerprint)
-            joined[case.fingerprint] = case if known is None else merged(known, case)
-        if joined == _by_fingerprint(old):
+            joined[case.fingerprint] = case if known is None else merge_evidence(known, case)
+        if joined == _decode_by_fingerprint(old):
             return None
-        since = self.wall_clock() - KEPT_SECONDS
+        since = self.wall_clock() - SUSPECT_LIFETIME_SECONDS
         kept = [case for case in joined.values() if case.ended_at >= since]
         kept.sort(key=lambda case: (len(case.ends), case.ended_at), reverse=True)
-        return msgspec.Raw(msgspec.json.encode(StoredCases(tuple(kept[:MOST_SUSPECTS]))))
+        return msgspec.Raw(msgspec.json.encode(StoredCases(tuple(kept[:MAX_SUSPECTS]))))
 
 
-def _cases(stored: msgspec.Raw | None) -> tuple[Case, ...]:
+def _decode_cases(stored: msgspec.Raw | None) -> tuple[Case, ...]:
     """Read an object's value; one that others spoilt counts as empty, and is written anew."""
     if stored is None:
         return ()
@@ -96,5 +96,5 @@
         return ()
 
 
-def _by_fingerprint(stored: msgspec.Raw | None) -> dict[str, Case]:
-    return {case.fingerprint: case for case in _cases(stored)}
+def _decode_by_fingerprint(stored: msgspec.Raw | None) -> dict[str, Case]:
+    return {case.fingerprint: case for case in _decode_cases(stored)}
--- a/whinrack/quarantine/_cases.py
+++ b/whinrack/quarantine/_cases.py
@@ -2,10 +2,10 @@
 
 import msgspec
 
-__all__ = ["Case", "TargetEnd", "merged"]
+__all__ = ["Case", "TargetEnd", "merge_evidence"]
 
 # Ends that a case holds; a request that has some is sent to no target, so there are few more.
-_MOST_ENDS = 16
+_MAX_ENDS = 16
 
 
 class TargetEnd(msgspec.Struct, frozen=True, array_like=True, order=True):
@@ -61,7 +61,7 @@
         """Return the case with one more end; the same end once more changes nothing."""
         if end in self.ends:
             return self
-        ends = _bounded({*self.ends, end})
+        ends = _sorted_and_limited({*self.ends, end})
         return msgspec.structs.replace(self, ends=ends, ended_at=max(at, self.ended_at))
 
     def cleared(self) -> "Case":
@@ -74,20 +74,20 @@
         return msgspec.structs.replace(self, trials=self.trials + 1, tried_at=at)
 
 
-def merged(one: Case, two: Case) -> Case:
+def merge_evidence(first: Case, second: Case) -> Case:
     """Return what two instances know together of the same request."""
-    if one.epoch != two.epoch:
-        return max(one, two, key=lambda case: case.epoch)
+    if first.epoch != second.epoch:
+        return max(first, second, key=lambda case: case.epoch)
     return msgspec.structs.replace(
-        one,
-        workspace=one.workspace or two.workspace,
-        route=max(one.route, two.route),
-        ends=_bounded({*one.ends, *two.ends}),
-        ended_at=max(one.ended_at, two.ended_at),
-        trials=max(one.trials, two.trials),
-        tried_at=max(one.tried_at, two.tried_at),
+        first,
+        workspace=first.workspace or second.workspace,
+        route=max(first.route, second.route),
+        ends=_sorted_and_limited({*first.ends, *second.ends}),
+        ended_at=max(first.ended_at, second.ended_at),
+        trials=max(first.trials, second.trials),
+        tried_at=max(first.tried_at, second.tried_at),
     )
 
 
-def _bounded(ends: set[TargetEnd]) -> tuple[TargetEnd, ...]:
-    return tuple(sorted(ends)[:_MOST_ENDS])
+def _sorted_and_limited(ends: set[TargetEnd]) -> tuple[TargetEnd, ...]:
+    return tuple(sorted(ends)[:_MAX_ENDS])
--- a/whinrack/quarantine/_quarantine.py
+++ b/whinrack/quarantine/_quarantine.py
@@ -14,18 +14,18 @@
 from whinrack.observability import Event, log_event
 from whinrack.quarantine._case_store import CaseStore
 from whinrack.quarantine._cases import Case, TargetEnd
-from whinrack.quarantine._table import SUSPICIOUS, CaseTable
+from whinrack.quarantine._table import SUSPECT_THRESHOLD, CaseTable
 from whinrack.quarantine._trials import seconds_until_trial
 from whinrack.quarantine.base import RequestSignature, RunGuard
 
 __all__ = ["Quarantine", "QuarantineHost"]
 
-_HERE = "here"
-_STORE = "store"
+_OWN_SOURCE = "here"
+_STORE_SOURCE = "store"
 # Told to callers whose request gets no trial any more: an operator has to lift it, seconds.
 _NO_TRIAL_RETRY_SECONDS = 3600.0
 # Least time that a caller is told to stay away, seconds.
-_LEAST_RETRY_SECONDS = 1.0
+_MIN_RETRY_SECONDS = 1.0
 
 
 class QuarantineHost:
@@ -73,7 +73,7 @@
         self.wall_clock = wall_clock
         self.steady = steady
         self.table = CaseTable()
-        self._kept_out: frozenset[str] = frozenset()
+        self._quarantined: frozenset[str] = frozenset()
 
     # --- what the pipeline asks and tells -------------------------------------------
 
@@ -83,14 +83,14 @@
             return
         case = self.table.get(request.fingerprint)
         wait = seconds_until_trial(case, self.wall_clock())
-        if wait == 0.0 and self._takes_trial(case):
+        if wait == 0.0 and self._try_claim_trial(case):
             return
         raise RequestQuarantined(
             f"{len(case.ends)} targets ended under requests with fingerprint {case.fingerprint}",
-            retry_after=_NO_TRIAL_RETRY_SECONDS if wait is None else wait + _LEAST_RETRY_SECONDS,
+            retry_after=_NO_TRIAL_RETRY_SECONDS if wait is None else wait + _MIN_RETRY_SECONDS,
         )
 
-    def _takes_trial(self, case: Case) -> bool:
+    def _try_claim_trial(self, case: Case) -> bool:
         """Whether this instance may let one run through; all others learn that it did."""
         if not self.host.reaches_store():
             # Its caller would wait for the store in vain.
@@ -112,14 +112,14 @@
 
     def record_success(self, request: RequestSignature) -> None:
         """Clear a request: it doesn't end each target that runs it."""
-        self.table.note_success(request.fingerprint, self.steady())
+        self.table.record_success(request.fingerprint, self.steady())
         self._clear(request.fingerprint, request.workspace, "ended well")
 
     def record_target_end(self, end: TargetEnd, runs: list[RequestSignature]) -> None:
         """Take in a target's end as evidence against those that it cut."""
         now = self.wall_clock()
         for request in runs:
-            if self._is_innocent(request.fingerprint):
+            if self._has_recent_success(request.fingerprint):
                 continue
             empty = Case(
                 fingerprint=request.fingerprint,
@@ -127,10 +127,10 @@
                 route=request.route,
             )
             case = self.table.record_end(empty, end, now)
-            if len(case.ends) < SUSPICIOUS:
+            if len(case.ends) < SUSPECT_THRESHOLD:
                 self.host.send_to_owners(case)
             else:
-                self._announce(case, _HERE)
+                self._announce(case, _OWN_SOURCE)
         self._log_changes()
 
     # --- what operators ask -----------------------------------------------------------
@@ -155,10 +155,10 @@
         for told in cases:
             before = self.table.get(told.fingerprint, told.workspace)
             known = self.table.merge(told)
-            if len(known.ends) >= SUSPICIOUS and self._is_innocent(known.fingerprint):
+            if len(known.ends) >= SUSPECT_THRESHOLD and self._has_recent_success(known.fingerprint):
                 self._clear(known.fingerprint, known.workspace, "ended well lately")
                 continue
-            if len(known.ends) < SUSPICIOUS and not known.epoch:
+            if len(known.ends) < SUSPECT_THRESHOLD and not known.epoch:
                 continue
             if known not in (told, before):
                 # Neither side knew all of it.
@@ -171,20 +171,20 @@
     def merge_stored_cases(self, cases: Iterable[Case]) -> None:
         """Take in what the store holds; peers that lack some ask by their checksums."""
         told = list(cases)
-        self.merge_cases(told, _STORE)
+        self.merge_cases(told, _STORE_SOURCE)
         log_event(
             Event.QUARANTINE_READ, cases=len(told), kept_out=len(self.table.blamed_fingerprints())
         )
 
     def remove_expired(self) -> None:
         """Drop what is too old to count."""
-        self.table.forget(self.wall_clock())
+        self.table.remove_expired(self.wall_clock())
         self._log_changes()
 
     # --- consequences -----------------------------------------------------------------
 
-    def _is_innocent(self, fingerprint: str) -> bool:
-        return self.table.succeeded_lately(fingerprint, self.steady())
+    def _has_recent_success(self, fingerprint: str) -> bool:
+        return self.table.has_recent_success(fingerprint, self.steady())
 
     def _clear(self, fingerprint: str, workspace: str, why: str) -> bool:
         before = self.table.get(fingerprint, workspace)
@@ -192,12 +192,12 @@
         if case is None:
             return False
         log_event(Event.QUARANTINE_ENDED, fingerprint=fingerprint, why=why, ends=len(before.ends))
-        if len(before.ends) < SUSPICIOUS:
+        if len(before.ends) < SUSPECT_THRESHOLD:
             self.host.send_to_owners(case)
         else:
             self.host.send_to_all([case])
             self.host.schedule_save()
-        self._kept_out -= {fingerprint}
+        self._quarantined -= {fingerprint}
         return True
 
     def _announce(self, case: Case, source: str) -> None:
@@ -215,7 +215,7 @@
     def _log_changes(self) -> None:
         """Tell which requests are kept out from now on, and which no longer are."""
         now = self.table.blamed_fingerprints()
-        for fingerprint in now - self._kept_out:
+        for fingerprint in now - self._quarantined:
             case = self.table.get(fingerprint)
             log_event(
                 Event.REQUEST_QUARANTINED,
@@ -224,10 +224,10 @@
                 route=case.route,
                 targets=" ".join(case.target_names()),
             )
-        for fingerprint in self._kept_out - now:
+        for fingerprint in self._quarantined - now:
             log_event(
                 Event.QUARANTINE_ENDED,
                 fingerprint=fingerprint,
                 why="cleared or explained by others",
             )
-        self._kept_out = now
+        self._quarantined = now
--- a/whinrack/quarantine/_table.py
+++ b/whinrack/quarantine/_table.py
@@ -5,26 +5,26 @@
 import msgspec
 import xxhash
 
-from whinrack.quarantine._attribution import blamed
-from whinrack.quarantine._cases import Case, TargetEnd, merged
+from whinrack.quarantine._attribution import find_culprits
+from whinrack.quarantine._cases import Case, TargetEnd, merge_evidence
 
-__all__ = ["KEPT_SECONDS", "MOST_SUSPECTS", "SUSPICIOUS", "CaseTable"]
+__all__ = ["SUSPECT_LIFETIME_SECONDS", "MAX_SUSPECTS", "SUSPECT_THRESHOLD", "CaseTable"]
 
 # Ends from which on all instances are told of a request.
-SUSPICIOUS = 2
+SUSPECT_THRESHOLD = 2
 # Cases with a single end: those that ran on a target that ended, 64 at most an end; about
 # 1 KB each. One caller that varies its requests can take a quarter of the places.
-_MOST_CASES = 4096
-_MOST_OF_A_WORKSPACE = _MOST_CASES // 4
+_MAX_SINGLE_END_CASES = 4096
+_MAX_PER_WORKSPACE = _MAX_SINGLE_END_CASES // 4
 # Cases that all instances know; some 300 bytes each, so they fit into one object of the store.
-MOST_SUSPECTS = 512
+MAX_SUSPECTS = 512
 # A single end is forgotten after so long: a chance one must not wait for the next.
-_SINGLE_SECONDS = 600.0
+_SINGLE_END_LIFETIME_SECONDS = 600.0
 # A request that ended no target for so long is forgotten, as the store's room is bounded.
-KEPT_SECONDS = 7 * 86_400.0
+SUSPECT_LIFETIME_SECONDS = 7 * 86_400.0
 # A success is remembered for so long, and so many of them.
-_SUCCESS_SECONDS = 60.0
-_MOST_SUCCESSES = 4096
+_SUCCESS_LIFETIME_SECONDS = 60.0
+_MAX_SUCCESSES = 4096
 
 
 class CaseTable:
@@ -32,7 +32,7 @@
 
     def __init__(self):
         # With one end: by workspace, so that a caller's many cases displace its own.
-        self._single: dict[str, OrderedDict[str, Case]] = {}
+        self._single_end_cases: dict[str, OrderedDict[str, Case]] = {}
         self._single_count = 0
         self._suspects: dict[str, Case] = {}
         self._successes: OrderedDict[str, float] = OrderedDict()
@@ -45,7 +45,7 @@
         """Return what is known of a request."""
         known = self._suspects.get(fingerprint)
         if known is None:
-            known = self._single.get(workspace, {}).get(fingerprint)
+            known = self._single_end_cases.get(workspace, {}).get(fingerprint)
         return known
 
     def suspect_cases(self) -> list[Case]:
@@ -55,7 +55,7 @@
     def blamed_fingerprints(self) -> frozenset[str]:
         """Return the fingerprints of requests that are to be kept out."""
         if self._blamed is None:
-            self._blamed = blamed(self._suspects.values())
+            self._blamed = find_culprits(self._suspects.values())
         return self._blamed
 
     def checksum(self) -> int:
@@ -83,13 +83,13 @@
     def merge(self, case: Case) -> Case:
         """Take in what a peer or the store knows; returns what is known now."""
         known = self.get(case.fingerprint, case.workspace)
-        return self.put(case if known is None else merged(known, case))
+        return self.put(case if known is None else merge_evidence(known, case))
 
     def put(self, case: Case) -> Case:
         """Set what is known of a request."""
         if case == self.get(case.fingerprint, case.workspace):
             return case
-        if len(case.ends) >= SUSPICIOUS or case.fingerprint in self._suspects:
+        if len(case.ends) >= SUSPECT_THRESHOLD or case.fingerprint in self._suspects:
             self._put_suspect(case)
         elif case.ends:
             self._put_single(case)
@@ -104,63 +104,69 @@
             return None
         return self.put(known.cleared())
 
-    def note_success(self, fingerprint: str, now: float) -> None:
+    def record_success(self, fingerprint: str, now: float) -> None:
         """Remember by the steady clock that a request ended well."""
         self._successes[fingerprint] = now
         self._successes.move_to_end(fingerprint)
-        while len(self._successes) > _MOST_SUCCESSES:
+        while len(self._successes) > _MAX_SUCCESSES:
             self._successes.popitem(last=False)
 
-    def succeeded_lately(self, fingerprint: str, now: float) -> bool:
+    def has_recent_success(self, fingerprint: str, now: float) -> bool:
         """Whether a request ended well within the last minute."""
-        return now - self._successes.get(fingerprint, float("-inf")) <= _SUCCESS_SECONDS
+        return now - self._successes.get(fingerprint, float("-inf")) <= _SUCCESS_LIFETIME_SECONDS
 
-    def forget(self, now: float) -> None:
+    def remove_expired(self, now: float) -> None:
         """Drop what is too old to count, by the Unix time in seconds."""
-        for workspace, own in list(self._single.items()):
-            while own and now - next(iter(own.values())).ended_at > _SINGLE_SECONDS:
+        for workspace, own in list(self._single_end_cases.items()):
+            while own and now - next(iter(own.values())).ended_at > _SINGLE_END_LIFETIME_SECONDS:
                 own.popitem(last=False)
                 self._single_count -= 1
             if not own:
-                del self._single[workspace]
-        old = [name for name, case in self._suspects.items() if now - case.ended_at > KEPT_SECONDS]
+                del self._single_end_cases[workspace]
+        old = [
+            name
+            for name, case in self._suspects.items()
+            if now - case.ended_at > SUSPECT_LIFETIME_SECONDS
+        ]
         for name in old:
             del self._suspects[name]
         if old:
-            self._changed()
+            self._invalidate_cache()
 
     # --- bounds ------------------------------------------------------------------
 
     def _put_suspect(self, case: Case) -> None:
         self._drop_single(case)
         self._suspects[case.fingerprint] = case
-        while len(self._suspects) > MOST_SUSPECTS:
+        while len(self._suspects) > MAX_SUSPECTS:
             # The one with the fewest ends, and of these the one that is quiet for longest.
             least = min(self._suspects.values(), key=lambda one: (len(one.ends), one.ended_at))
             del self._suspects[least.fingerprint]
-        self._changed()
+        self._invalidate_cache()
 
     def _put_single(self, case: Case) -> None:
-        own = self._single.setdefault(case.workspace, OrderedDict())
+        own = self._single_end_cases.setdefault(case.workspace, OrderedDict())
         self._single_count += case.fingerprint not in own
         own[case.fingerprint] = case
-        if len(own) > _MOST_OF_A_WORKSPACE:
+        if len(own) > _MAX_PER_WORKSPACE:
             self._drop_oldest(case.workspace)
-        elif self._single_count > _MOST_CASES:
-            self._drop_oldest(max(self._single, key=lambda name: len(self._single[name])))
+        elif self._single_count > _MAX_SINGLE_END_CASES:
+            self._drop_oldest(
+                max(self._single_end_cases, key=lambda name: len(self._single_end_cases[name]))
+            )
 
     def _drop_oldest(self, workspace: str) -> None:
-        own = self._single[workspace]
+        own = self._single_end_cases[workspace]
         own.popitem(last=False)
         self._single_count -= 1
         if not own:
-            del self._single[workspace]
+            del self._single_end_cases[workspace]
 
     def _drop_single(self, case: Case) -> None:
-        own = self._single.get(case.workspace, {})
+        own = self._single_end_cases.get(case.workspace, {})
         if own.pop(case.fingerprint, None) is not None:
             self._single_count -= 1
 
-    def _changed(self) -> None:
+    def _invalidate_cache(self) -> None:
         self._blamed = None
         self._checksum = 0
--- a/whinrack/quarantine/_trials.py
+++ b/whinrack/quarantine/_trials.py
@@ -12,7 +12,7 @@
 
 # From the last end, or the last trial, until the next trial. A caller that was blamed wrongly
 # waits half a minute; one whose request ends targets ends three more in the first hour, then none.
-_PAUSES = (30.0, 300.0, 3600.0)
+_TRIAL_PAUSES_SECONDS = (30.0, 300.0, 3600.0)
 
 
 def seconds_until_trial(case: Case, now: float) -> float | None:
@@ -23,9 +23,9 @@
     now : float
         Unix time, seconds.
     """
-    if case.trials >= len(_PAUSES):
+    if case.trials >= len(_TRIAL_PAUSES_SECONDS):
         return None
-    pause = _PAUSES[case.trials]
+    pause = _TRIAL_PAUSES_SECONDS[case.trials]
     # A clock that was set back must not keep the request out for longer than the pause.
     since = min(max(case.ended_at, case.tried_at), now)
     return max(0.0, since + pause - now)
--- a/whinrack/quarantine/tests/test_attribution.py
+++ b/whinrack/quarantine/tests/test_attribution.py
@@ -3,7 +3,7 @@
 import random
 
 from whinrack.quarantine import Case, TargetEnd
-from whinrack.quarantine._attribution import blamed
+from whinrack.quarantine._attribution import find_culprits
 
 
 def case(fingerprint, ends):
@@ -11,25 +11,25 @@
 
 
 def test_three_ends_are_too_many_two_are_not():
-    assert blamed([case("f", "abc"), case("g", "de")]) == {"f"}
+    assert find_culprits([case("f", "abc"), case("g", "de")]) == {"f"}
 
 
 def test_neighbours_of_a_blamed_request_go_free():
     culprit = case("culprit", "abcd")
-    assert blamed([culprit, case("neighbour", "abc"), case("other", "bcd")]) == {"culprit"}
+    assert find_culprits([culprit, case("neighbour", "abc"), case("other", "bcd")]) == {"culprit"}
 
 
 def test_two_culprits_are_both_found():
-    assert blamed([case("one", "abcd"), case("two", "defg")]) == {"one", "two"}
+    assert find_culprits([case("one", "abcd"), case("two", "defg")]) == {"one", "two"}
 
 
 def test_a_neighbour_of_two_culprits_goes_free_once_both_are_known():
     one, two, neighbour = case("one", "abcd"), case("two", "efgh"), case("neighbour", "aef")
-    assert blamed([one, two, neighbour]) == {"one", "two"}
+    assert find_culprits([one, two, neighbour]) == {"one", "two"}
 
 
 def test_equal_evidence_blames_both():
-    assert blamed([case("one", "abc"), case("two", "abc")]) == {"one", "two"}
+    assert find_culprits([case("one", "abc"), case("two", "abc")]) == {"one", "two"}
 
 
 def storm(seed, targets=6, callers=40, ends=8):
@@ -45,5 +45,5 @@
 
 
 def test_in_storms_nobody_else_is_blamed():
-    wrong = [seed for seed in range(200) if blamed(storm(seed)) != {"culprit"}]
+    wrong = [seed for seed in range(200) if find_culprits(storm(seed)) != {"culprit"}]
     assert wrong == []
--- a/whinrack/quarantine/tests/test_cases.py
+++ b/whinrack/quarantine/tests/test_cases.py
@@ -5,7 +5,7 @@
 from hypothesis import strategies as st
 
 from whinrack.quarantine import Case, TargetEnd
-from whinrack.quarantine._cases import merged
+from whinrack.quarantine._cases import merge_evidence
 
 ENDS = st.builds(TargetEnd, st.sampled_from("abcdef"), st.integers(0, 2))
 TIMES = st.integers(0, 9).map(float)
@@ -30,18 +30,20 @@
 
 @given(CASES, CASES)
 def test_order_does_not_matter(one, two):
-    assert merged(one, two) == merged(two, one)
+    assert merge_evidence(one, two) == merge_evidence(two, one)
 
 
 @given(CASES, CASES, CASES)
 def test_grouping_does_not_matter(one, two, three):
-    assert merged(merged(one, two), three) == merged(one, merged(two, three))
+    assert merge_evidence(merge_evidence(one, two), three) == merge_evidence(
+        one, merge_evidence(two, three)
+    )
 
 
 @given(CASES, CASES)
 def test_the_same_word_once_more_changes_nothing(one, two):
-    known = merged(one, two)
-    assert merged(known, two) == known
+    known = merge_evidence(one, two)
+    assert merge_evidence(known, two) == known
 
 
 def test_several_instances_see_one_end():
@@ -57,7 +59,7 @@
 
 def test_what_was_known_before_a_clearing_stays_void():
     guilty = Case(fingerprint="f").with_end(TargetEnd("t", 7), 1.0)
-    assert merged(guilty, guilty.cleared()).ends == ()
+    assert merge_evidence(guilty, guilty.cleared()).ends == ()
 
 
 def test_a_case_is_bounded():
--- a/whinrack/quarantine/tests/test_table.py
+++ b/whinrack/quarantine/tests/test_table.py
@@ -1,7 +1,7 @@
 """What an instance remembers is bounded, and what matters outlasts what doesn't."""
 
 from whinrack.quarantine import Case, TargetEnd
-from whinrack.quarantine._table import KEPT_SECONDS, MOST_SUSPECTS, CaseTable
+from whinrack.quarantine._table import MAX_SUSPECTS, SUSPECT_LIFETIME_SECONDS, CaseTable
 
 _MANY = 10_000
 
@@ -26,7 +26,7 @@
     for number in range(_MANY):
         record(table, f"f{number}", "a", workspace=f"flood{number % 10}")
     assert table.get("rare", "victim") is not None
-    assert sum(len(own) for own in table._single.values()) == table._single_count <= 4096
+    assert sum(len(own) for own in table._single_end_cases.values()) == table._single_count <= 4096
 
 
 def test_a_suspect_is_never_displaced_by_chance_ends():
@@ -40,9 +40,9 @@
 def test_of_too_many_suspects_those_with_most_ends_stay():
     table = CaseTable()
     record(table, "culprit", "abc")
-    for number in range(2 * MOST_SUSPECTS):
+    for number in range(2 * MAX_SUSPECTS):
         record(table, f"f{number}", (f"x{number}", f"y{number}"), at=2.0)
-    assert len(table.suspect_cases()) == MOST_SUSPECTS
+    assert len(table.suspect_cases()) == MAX_SUSPECTS
     assert table.blamed_fingerprints() == {"culprit"}
 
 
@@ -50,12 +50,12 @@
     table = CaseTable()
     record(table, "single", "a", at=0.0)
     record(table, "suspect", "ab", at=0.0)
-    table.forget(599.0)
+    table.remove_expired(599.0)
     assert table.get("single", "w") is not None
-    table.forget(601.0)
+    table.remove_expired(601.0)
     assert table.get("single", "w") is None
     assert table.get("suspect") is not None
-    table.forget(KEPT_SECONDS + 1.0)
+    table.remove_expired(SUSPECT_LIFETIME_SECONDS + 1.0)
     assert table.suspect_cases() == []
 
 
@@ -77,6 +77,6 @@
 
 def test_a_success_is_remembered_for_a_minute():
     table = CaseTable()
-    table.note_success("f", 10.0)
-    assert table.succeeded_lately("f", 70.0)
-    assert not table.succeeded_lately("f", 70.1)
+    table.record_success("f", 10.0)
+    assert table.has_recent_success("f", 70.0)
+    assert not table.has_recent_success("f", 70.1)
--- a/whinrack/store/_adaptive_timeout.py
+++ b/whinrack/store/_adaptive_timeout.py
@@ -4,14 +4,14 @@
 
 # The slowest store that is known of answers in 0.39 s when it suddenly turns slow; with watches
 # held for 1 s and begun 0.1 s apart, a connection that fell silent shows within 1.6 s.
-_LOWEST_SECONDS = 0.5
+_MIN_SECONDS = 0.5
 # A store that was away is asked again after as long: what is waited here comes on top of the time
 # until its return is noticed.
-_HIGHEST_SECONDS = 0.8
+_MAX_SECONDS = 0.8
 # Weights of a new sample and the number of deviations, of TCP's retransmission timer (RFC 6298).
-_MEAN_SHARE = 1 / 8
-_DEVIATION_SHARE = 1 / 4
-_DEVIATIONS = 4
+_MEAN_WEIGHT = 1 / 8
+_DEVIATION_WEIGHT = 1 / 4
+_DEVIATION_FACTOR = 4
 # After a lost answer.
 _BACKOFF = 2
 
@@ -31,7 +31,7 @@
     @property
     def seconds(self) -> float:
         """How long to wait for the next answer."""
-        return min(_HIGHEST_SECONDS, self._backoff * self._expected())
+        return min(_MAX_SECONDS, self._backoff * self._expected())
 
     def record_response(self, seconds: float) -> None:
         """Take in the seconds that an answer took."""
@@ -40,8 +40,8 @@
             self._mean, self._deviation = seconds, seconds / 2
             return
         off = abs(seconds - self._mean)
-        self._deviation += _DEVIATION_SHARE * (off - self._deviation)
-        self._mean += _MEAN_SHARE * (seconds - self._mean)
+        self._deviation += _DEVIATION_WEIGHT * (off - self._deviation)
+        self._mean += _MEAN_WEIGHT * (seconds - self._mean)
 
     def record_response_within(self, seconds: float) -> None:
         """Take in that an answer took at most so many seconds; how many isn't known."""
@@ -54,4 +54,4 @@
 
     def _expected(self) -> float:
         mean = self._mean or 0.0
-        return max(_LOWEST_SECONDS, mean + _DEVIATIONS * self._deviation)
+        return max(_MIN_SECONDS, mean + _DEVIATION_FACTOR * self._deviation)
--- a/whinrack/store/_connections.py
+++ b/whinrack/store/_connections.py
@@ -47,11 +47,11 @@
         except (urllib3.exceptions.ConnectTimeoutError, urllib3.exceptions.NewConnectionError):
             return Failure(PlatformUnavailable("no connection to the store"))
         except urllib3.exceptions.HTTPError as error:
-            self._give_up(pool)
+            self._discard(pool)
             return Failure(lost_reply_failure(method, type(error).__name__))
         return Success(reply)
 
-    def _give_up(self, pool: urllib3.HTTPConnectionPool) -> None:
+    def _discard(self, pool: urllib3.HTTPConnectionPool) -> None:
         """Close what is idle; calls in progress end by themselves."""
         if pool is self._pool:
             self._pool = self._new_pool()
--- a/whinrack/store/_era.py
+++ b/whinrack/store/_era.py
@@ -7,7 +7,7 @@
 __all__ = ["EraChange", "StoreEra"]
 
 # Far more returns than a store makes; a larger number is not an era.
-_MOST_ERAS = 2**20
+_ERA_LIMIT = 2**20
 
 
 class EraChange(msgspec.Struct, frozen=True):
@@ -77,7 +77,7 @@
 def _parse(text: str) -> int | None:
     """Return the number, None for anything else."""
     text = text.strip()
-    if not (text.isascii() and text.isdigit()) or len(text) > len(str(_MOST_ERAS)):
+    if not (text.isascii() and text.isdigit()) or len(text) > len(str(_ERA_LIMIT)):
         return None
     era = int(text)
-    return era if era < _MOST_ERAS else None
+    return era if era < _ERA_LIMIT else None
--- a/whinrack/store/_http.py
+++ b/whinrack/store/_http.py
@@ -33,11 +33,11 @@
 
 __all__ = ["HttpObjectStore"]
 
-_CONNECT_TIMEOUT = 1.0
-_WATCH_SLACK = 5.0
-_FIRST_PAUSE = 0.05
-_LONGEST_PAUSE = 1.0
-_MOST_CONNECTIONS = 16
+_CONNECT_TIMEOUT_SECONDS = 1.0
+_WATCH_MARGIN_SECONDS = 5.0
+_MIN_BACKOFF_SECONDS = 0.05
+_MAX_BACKOFF_SECONDS = 1.0
+_MAX_IDLE_CONNECTIONS = 16
 _JSON = "application/json"
 _SNAPSHOT = msgspec.json.Decoder(Snapshot)
 _OBJECT = msgspec.json.Decoder(StoredObject)
@@ -86,9 +86,9 @@
         self.clock = clock
         self.sleep = sleep
         self._bucket = TokenBucket(rate, burst=rate)
-        self._away_until = float("-inf")
-        self._pause = 0.0
-        self._connections = StoreConnections(address, _MOST_CONNECTIONS)
+        self._retry_at = float("-inf")
+        self._backoff_seconds = 0.0
+        self._connections = StoreConnections(address, _MAX_IDLE_CONNECTIONS)
 
     def get(self, kind: str, name: str) -> Result[StoredObject, PlatformFailure]:
         """Read one object."""
@@ -118,7 +118,7 @@
     ) -> Result[WatchBatch, PlatformFailure]:
         """Wait at most `wait` seconds for changes after a revision."""
         path = f"/v1/watch?kinds={','.join(kinds)}&since={since}&wait={wait}"
-        reply = self._call("watch", "GET", path, timeout=wait + _WATCH_SLACK)
+        reply = self._call("watch", "GET", path, timeout=wait + _WATCH_MARGIN_SECONDS)
         return reply.map(lambda body: _BATCH.decode(body))
 
     def instances(self) -> Result[tuple[InstanceRecord, ...], PlatformFailure]:
@@ -135,9 +135,9 @@
         version: int | None = None,
         timeout: float | None = None,
     ) -> Result[bytes, PlatformFailure]:
-        if self.clock() < self._away_until:
+        if self.clock() < self._retry_at:
             return Failure(PlatformUnavailable(f"{operation}: backing off"))
-        result = self._paced(operation, method, path, body, version, timeout)
+        result = self._send_paced(operation, method, path, body, version, timeout)
         self._back_off(result)
         code = "ok" if isinstance(result, Success) else result.failure().code
         self.on_call(operation, code)
@@ -149,12 +149,14 @@
             result.failure(), PlatformUnavailable | WriteUnknown
         )
         if not away:
-            self._pause = 0.0
+            self._backoff_seconds = 0.0
             return
-        self._away_until = self.clock() + self._pause
-        self._pause = min(_LONGEST_PAUSE, max(_FIRST_PAUSE, 2 * self._pause))
+        self._retry_at = self.clock() + self._backoff_seconds
+        self._backoff_seconds = min(
+            _MAX_BACKOFF_SECONDS, max(_MIN_BACKOFF_SECONDS, 2 * self._backoff_seconds)
+        )
 
-    def _paced(self, operation, method, path, body, version, timeout):
+    def _send_paced(self, operation, method, path, body, version, timeout):
         delay = self._bucket.reserve(self.clock())
         if delay > self.max_wait:
             return Failure(RateExceeded(f"{operation}: over {self.rate:g} calls a second"))
@@ -163,12 +165,12 @@
         headers = {"Content-Type": _JSON}
         if version is not None:
             headers["If-Match"] = str(version)
-        limit = urllib3.Timeout(connect=_CONNECT_TIMEOUT, read=timeout or self.timeout)
+        limit = urllib3.Timeout(connect=_CONNECT_TIMEOUT_SECONDS, read=timeout or self.timeout)
         reply = self._connections.call(method, path, limit, body, headers)
-        return reply.bind(lambda answer: _outcome(operation, method, answer))
+        return reply.bind(lambda answer: _parse_reply(operation, method, answer))
 
 
-def _outcome(operation: str, method: str, reply) -> Result[bytes, PlatformFailure]:
+def _parse_reply(operation: str, method: str, reply) -> Result[bytes, PlatformFailure]:
     match reply.status:
         case 200:
             return Success(reply.data)
--- a/whinrack/store/_metered.py
+++ b/whinrack/store/_metered.py
@@ -12,7 +12,7 @@
 
 __all__ = ["MeteredStore"]
 
-_DONE = "ok"
+_OK = "ok"
 
 
 class MeteredStore(ObjectStore):
@@ -48,28 +48,28 @@
 
     def get(self, kind: str, name: str) -> Result[StoredObject, PlatformFailure]:
         """Read one object."""
-        return self._counted(f"get {kind}", self.store.get(kind, name))
+        return self._record(f"get {kind}", self.store.get(kind, name))
 
     def list(self, kinds: Sequence[str]) -> Result[Snapshot, PlatformFailure]:
         """Read all objects of some kinds at one revision."""
-        return self._counted(_about("list", kinds), self.store.list(kinds))
+        return self._record(_operation_name("list", kinds), self.store.list(kinds))
 
     def put(
         self, kind: str, name: str, value: bytes, version: int
     ) -> Result[StoredObject, PlatformFailure]:
         """Write an object that is at `version`."""
         self.bytes[f"put {kind}"] += len(value)
-        return self._counted(f"put {kind}", self.store.put(kind, name, value, version))
+        return self._record(f"put {kind}", self.store.put(kind, name, value, version))
 
     def delete(self, kind: str, name: str, version: int) -> Result[None, PlatformFailure]:
         """Delete an object that is at `version`."""
-        return self._counted(f"delete {kind}", self.store.delete(kind, name, version))
+        return self._record(f"delete {kind}", self.store.delete(kind, name, version))
 
     def watch(
         self, kinds: Sequence[str], since: int, wait: float
     ) -> Result[WatchBatch, PlatformFailure]:
         """Wait for changes after a revision."""
-        return self._counted(_about("watch", kinds), self.store.watch(kinds, since, wait))
+        return self._record(_operation_name("watch", kinds), self.store.watch(kinds, since, wait))
 
     def format_calls(self) -> str:
         """Return the counts as text, for the log."""
@@ -79,10 +79,10 @@
         """Return the bytes of values as text, for the log."""
         return ", ".join(f"{name}:{size}" for name, size in self.bytes.items())
 
-    def _counted(self, operation: str, result: Result) -> Result:
-        outcome = result.failure().code if isinstance(result, Failure) else _DONE
+    def _record(self, operation: str, result: Result) -> Result:
+        outcome = result.failure().code if isinstance(result, Failure) else _OK
         self.calls[operation, outcome] += 1
-        self.bytes[operation] += _size(result)
+        self.bytes[operation] += _value_bytes(result)
         if isinstance(result, Success) or isinstance(result.failure(), NotFound | Conflict):
             self.last_answer_at = steady()
         else:
@@ -91,11 +91,11 @@
         return result
 
 
-def _about(operation: str, kinds: Sequence[str]) -> str:
+def _operation_name(operation: str, kinds: Sequence[str]) -> str:
     return f"{operation} {'+'.join(kinds)}"
 
 
-def _size(result: Result) -> int:
+def _value_bytes(result: Result) -> int:
     """Return the bytes of the values that an answer brought; a conflict brings the object."""
     if isinstance(result, Failure):
         current = result.failure().current if isinstance(result.failure(), Conflict) else None
--- a/whinrack/store/_object_editor.py
+++ b/whinrack/store/_object_editor.py
@@ -23,9 +23,9 @@
 
 Value = TypeVar("Value", bound=msgspec.Struct)
 
-_FIRST_BACKOFF = 0.02
-_LONGEST_BACKOFF = 0.5
-_MOST_COPIES = 256
+_MIN_BACKOFF_SECONDS = 0.02
+_MAX_BACKOFF_SECONDS = 0.5
+_MAX_CACHED_OBJECTS = 256
 
 
 class ObjectEditor(Generic[Value]):
@@ -74,7 +74,7 @@
         """Read the stored value afresh."""
         result = self.store.get(self.kind, name)
         if isinstance(result, Success):
-            self._copy(name, result.unwrap())
+            self._cache_object(name, result.unwrap())
         return result.map(lambda stored: self._decoder.decode(stored.value))
 
     def apply(
@@ -88,7 +88,7 @@
         doubt: PlatformFailure | None = None
         for attempt in range(self.attempts):
             copied = name in self._known
-            before = self._current(name)
+            before = self._load(name)
             if isinstance(before, Failure):
                 if doubt is not None:
                     return Failure(doubt)
@@ -105,7 +105,7 @@
             version = 0 if stored is None else stored.version
             written = self.store.put(self.kind, name, msgspec.json.encode(new), version)
             if isinstance(written, Success):
-                self._copy(name, written.unwrap())
+                self._cache_object(name, written.unwrap())
                 return Success(new)
             failure = written.failure()
             if isinstance(failure, NotFound):
@@ -114,21 +114,21 @@
                 continue
             if not isinstance(failure, Conflict | WriteUnknown):
                 return Failure(doubt or failure)
-            doubt = self._learn(name, failure, doubt)
+            doubt = self._handle_write_failure(name, failure, doubt)
             self._back_off(attempt)
         return Failure(doubt or PlatformUnavailable(f"{self.kind}/{name}: too many conflicts"))
 
-    def _learn(self, name, failure, doubt):
+    def _handle_write_failure(self, name, failure, doubt):
         if isinstance(failure, WriteUnknown):
             self._known.pop(name, None)
             return failure
         if failure.current is None:
             self._known.pop(name, None)
         else:
-            self._copy(name, failure.current)
+            self._cache_object(name, failure.current)
         return doubt
 
-    def _current(self, name: str) -> Result[StoredObject | None, PlatformFailure]:
+    def _load(self, name: str) -> Result[StoredObject | None, PlatformFailure]:
         known = self._known.get(name)
         if known is not None:
             return Success(known)
@@ -137,12 +137,12 @@
             return Success(None)
         return result
 
-    def _copy(self, name: str, stored: StoredObject) -> None:
+    def _cache_object(self, name: str, stored: StoredObject) -> None:
         self._known[name] = stored
         self._known.move_to_end(name)
-        if len(self._known) > _MOST_COPIES:
+        if len(self._known) > _MAX_CACHED_OBJECTS:
             self._known.popitem(last=False)
 
     def _back_off(self, attempt: int) -> None:
-        longest = min(_LONGEST_BACKOFF, _FIRST_BACKOFF * 2**attempt)
+        longest = min(_MAX_BACKOFF_SECONDS, _MIN_BACKOFF_SECONDS * 2**attempt)
         self.sleep(longest * self._random.random())
--- a/whinrack/store/_revisions.py
+++ b/whinrack/store/_revisions.py
@@ -9,12 +9,12 @@
 
 # A store that counts a million changes a second gives out no more in twelve days.
 _NUMBER_BITS = 40
-_NUMBERS = (1 << _NUMBER_BITS) - 1
+_NUMBER_MASK = (1 << _NUMBER_BITS) - 1
 
 
 def compose_revision(era: int, number: int) -> int:
     """Return the revision of a number that the store gave out in an era."""
-    return (era << _NUMBER_BITS) | min(number, _NUMBERS)
+    return (era << _NUMBER_BITS) | min(number, _NUMBER_MASK)
 
 
 def revision_era(revision: int) -> int:
@@ -24,7 +24,7 @@
 
 def revision_number(revision: int) -> int:
     """Return the store's own number of a revision."""
-    return revision & _NUMBERS
+    return revision & _NUMBER_MASK
 
 
 def format_revision(revision: int) -> str:
--- a/whinrack/store/_token_bucket.py
+++ b/whinrack/store/_token_bucket.py
@@ -23,24 +23,24 @@
     def __init__(self, rate: float, burst: float):
         self.rate = rate
         self.burst = burst
-        self._saved = burst
-        self._at: float | None = None
+        self._permits = burst
+        self._refilled_at: float | None = None
 
     def reserve(self, now: float) -> float:
         """Take one permit and return the seconds to wait before using it."""
         self._refill(now)
-        self._saved -= 1.0
-        return max(0.0, -self._saved / self.rate)
+        self._permits -= 1.0
+        return max(0.0, -self._permits / self.rate)
 
     def try_acquire(self, now: float) -> bool:
         """Take one permit if one is there now."""
         self._refill(now)
-        if self._saved < 1.0:
+        if self._permits < 1.0:
             return False
-        self._saved -= 1.0
+        self._permits -= 1.0
         return True
 
     def _refill(self, now: float) -> None:
-        if self._at is not None:
-            self._saved = min(self.burst, self._saved + (now - self._at) * self.rate)
-        self._at = now
+        if self._refilled_at is not None:
+            self._permits = min(self.burst, self._permits + (now - self._refilled_at) * self.rate)
+        self._refilled_at = now
--- a/whinrack/store/_unknown_fields.py
+++ b/whinrack/store/_unknown_fields.py
@@ -4,7 +4,7 @@
 
 __all__ = ["UnknownFields"]
 
-_MOST_FIELDS = 20
+_MAX_FIELDS = 20
 
 
 class UnknownFields:
@@ -23,7 +23,7 @@
     def record(self, names: Iterable[str]) -> None:
         """Take in the names that an answer has beside those that are known."""
         for name in names:
-            if name in self._names or len(self._names) >= _MOST_FIELDS:
+            if name in self._names or len(self._names) >= _MAX_FIELDS:
                 continue
             self._names.add(name)
             for tell in self.listeners:
