--- a/whinrack/feed/_config_store.py
+++ b/whinrack/feed/_config_store.py
@@ -63,13 +63,13 @@
     def apply_object(self, stored: StoredObject) -> bool:
         """Take in one object; False if it isn't newer than what is here."""
         key = (stored.kind, stored.name)
-        held = self._stored.get(key)
-        if held is not None and held.version >= stored.version:
+        previous = self._stored.get(key)
+        if previous is not None and previous.version >= stored.version:
             return False
         if stored.kind not in DECLARED_KINDS:
             return False
         self._stored[key] = stored
-        self._update_version_index(held, stored)
+        self._update_version_index(previous, stored)
         self._newest = max(self._newest, stored.version)
         self._apply_spec(stored)
         return True
@@ -89,12 +89,12 @@
         """
         objects = list(objects)
         present = {(stored.kind, stored.name) for stored in objects}
-        gone = [
-            StoredObject(held.kind, held.name, revision, deleted=True)
-            for key, held in self._stored.items()
-            if key not in present and held.version <= revision and not held.deleted
+        deleted = [
+            StoredObject(known.kind, known.name, revision, deleted=True)
+            for key, known in self._stored.items()
+            if key not in present and known.version <= revision and not known.deleted
         ]
-        return self.apply_batch(revision, [*objects, *gone])
+        return self.apply_batch(revision, [*objects, *deleted])
 
     def changes_after(self, revision: int) -> list[StoredObject]:
         """Return the objects whose last change is after a revision, deletions too."""
@@ -109,10 +109,10 @@
             if not stored.deleted
         }
 
-    def _update_version_index(self, held: StoredObject | None, stored: StoredObject) -> None:
-        """Keep the list of versions in order, so that recent changes are found at once."""
-        if held is not None:
-            old = (held.version, held.kind, held.name)
+    def _update_version_index(self, previous: StoredObject | None, stored: StoredObject) -> None:
+        """Keep the index sorted by version, so that recent changes are found by bisection."""
+        if previous is not None:
+            old = (previous.version, previous.kind, previous.name)
             del self._version_index[bisect.bisect_left(self._version_index, old)]
         bisect.insort(self._version_index, (stored.version, stored.kind, stored.name))
 
--- a/whinrack/feed/tests/test_feed.py
+++ b/whinrack/feed/tests/test_feed.py
@@ -22,10 +22,10 @@
 
 def state_at(changes, revision):
     """Return the objects that exist at a revision."""
-    held = {}
+    latest = {}
     for stored in changes[:revision]:
-        held[stored.name] = stored
-    return [stored for stored in held.values() if not stored.deleted]
+        latest[stored.name] = stored
+    return [stored for stored in latest.values() if not stored.deleted]
 
 
 CHANGES = st.lists(st.tuples(st.sampled_from(NAMES), st.booleans()), min_size=1, max_size=15)
@@ -33,7 +33,7 @@
 
 @given(CHANGES, st.data())
 @settings(max_examples=300, deadline=None, derandomize=True)
-def test_no_order_of_messages_brings_an_older_version_back(plain, data):
+def test_versions_never_decrease_for_any_order_of_messages(plain, data):
     changes = history(plain)
     store = ConfigStore()
     seen = dict.fromkeys(NAMES, 0)
@@ -66,7 +66,7 @@
     assert follower.versions() == store.versions()
 
 
-def test_an_invalid_object_leaves_the_last_good_one_in_force():
+def test_last_valid_object_stays_in_force_after_an_invalid_one():
     refused = []
     store = ConfigStore(on_invalid=lambda stored, error: refused.append(error.message))
     store.apply_object(StoredObject("Workspace", "w", 1, msgspec.Raw(VALUES[1])))
--- a/whinrack/gossip/_clock_check.py
+++ b/whinrack/gossip/_clock_check.py
@@ -49,12 +49,12 @@
 
     def is_confirmed_by_peers(self, wall: float, steady: float) -> bool:
         """Whether most peers agree with the time of day here."""
-        own = wall - steady
+        own_offset = wall - steady
         fresh = [
             clock
             for clock in self._clocks.values()
             if steady - clock.updated_at <= _SAMPLE_LIFETIME_SECONDS
         ]
-        agreeing = sum(abs(clock.offset - own) <= _TOLERANCE_SECONDS for clock in fresh)
-        most = agreeing + 1 > (len(fresh) + 1) / 2
-        return most and agreeing >= _MIN_AGREEING_PEERS
+        agreeing = sum(abs(clock.offset - own_offset) <= _TOLERANCE_SECONDS for clock in fresh)
+        is_majority = agreeing + 1 > (len(fresh) + 1) / 2
+        return is_majority and agreeing >= _MIN_AGREEING_PEERS
--- a/whinrack/gossip/_draw_coordinator.py
+++ b/whinrack/gossip/_draw_coordinator.py
@@ -110,7 +110,7 @@
         """Apply one holder's orders for one account."""
         return self._delegate(
             orders[0].account,
-            lambda pending: DrawRequest(pending, orders),
+            lambda request_id: DrawRequest(request_id, orders),
             lambda: self.local.draw_for_holder(orders),
         )
 
@@ -128,7 +128,7 @@
         """
         return self._delegate(
             account,
-            lambda pending: ReleaseRequest(pending, account, release),
+            lambda request_id: ReleaseRequest(request_id, account, release),
             lambda: self.local.release_runs(account, release),
         )
 
@@ -161,8 +161,8 @@
         if not request.orders:
             return
         self.link.send(DrawAccepted(request.request_id), address)
-        books = self.local.draw_for_holder(request.orders).value_or(None)
-        self.link.send(DrawReply(request.request_id, books), address)
+        results = self.local.draw_for_holder(request.orders).value_or(None)
+        self.link.send(DrawReply(request.request_id, results), address)
 
     def handle_release_request(self, request: ReleaseRequest, address: tuple[str, int]) -> None:
         """Give back what earlier runs of a peer held; after a failure the peer tries again."""
@@ -190,8 +190,8 @@
             for view in self.peers.live_peers(now)
             if view.state.store_confirmed and view.state.ready
         }
-        strong = {state.sender.name for state in prefer_high_capacity(self._candidates(views))}
-        for name in rendezvous(account, strong):
+        names = {state.sender.name for state in prefer_high_capacity(self._candidates(views))}
+        for name in rendezvous(account, names):
             if name == self.name:
                 return None
             if self._avoid_until.get(name, 0.0) <= now:
@@ -208,15 +208,15 @@
         self, writer: PeerView, make_request: Callable[[int], DrawRequest | ReleaseRequest]
     ) -> _PendingRequest:
         """Ask a writer and wait; first for its word that it has the request."""
-        number = next(self._request_ids)
-        pending = self._pending[number] = _PendingRequest()
+        request_id = next(self._request_ids)
+        pending = self._pending[request_id] = _PendingRequest()
         try:
-            self.link.send(make_request(number), writer.state.sender.address)
+            self.link.send(make_request(request_id), writer.state.sender.address)
             with Timeout(self.accept_timeout, False):
                 pending.accepted.wait()
             if pending.accepted.ready():
                 with Timeout(_WRITE_TIMEOUT_SECONDS, False):
                     pending.reply.wait()
         finally:
-            del self._pending[number]
+            del self._pending[request_id]
         return pending
--- a/whinrack/gossip/tests/test_draw_coordinator.py
+++ b/whinrack/gossip/tests/test_draw_coordinator.py
@@ -59,13 +59,13 @@
             eventlet.spawn_n(self.deliver, message)
 
 
-WIDE, NARROW = 100.0, 5.0
+HIGH_BANDWIDTH, LOW_BANDWIDTH = 100.0, 5.0
 
 
 def beat(name, **changes):
     fields = {"incarnation": f"{name}.1", "sequence": 1, "sender": PeerAddress(name, name, 1)}
     fields |= {"callers": "", "data_hall": "", "ready": True, "store_answers": True}
-    fields |= {"bandwidth": WIDE, "store_confirmed": True}
+    fields |= {"bandwidth": HIGH_BANDWIDTH, "store_confirmed": True}
     return Heartbeat(state=PeerState(**fields | {"load": 0, "configuration": 1} | changes))
 
 
@@ -77,12 +77,12 @@
         "whinrack.gossip._draw_coordinator.rendezvous", lambda key, names: sorted(names)
     )
     peers, link, books = PeerTable("m1", 1.0, 10.0), Link(), Books()
-    own_state = lambda: beat("m1", bandwidth=WIDE).state  # noqa: E731
+    own_state = lambda: beat("m1", bandwidth=HIGH_BANDWIDTH).state  # noqa: E731
     drawer = DrawCoordinator("m1", own_state, books, link, peers, accept_timeout=0.05)
     return drawer, peers, link, books
 
 
-def test_the_writer_writes_for_the_others(world):
+def test_writer_writes_for_other_instances(world):
     drawer, peers, link, books = world
     peers.record_heartbeat(beat("m0"), 0.0)
     link.deliver = lambda request: drawer.handle_reply(
@@ -92,7 +92,7 @@
     assert books.written == []
 
 
-def test_without_a_reply_an_instance_writes_by_itself_and_asks_another_for_a_while(world):
+def test_writer_that_does_not_reply_is_avoided_and_the_instance_writes_by_itself(world):
     drawer, peers, link, books = world
     peers.record_heartbeat(beat("m0"), 0.0)
     assert drawer.draw_for_holder(ORDERS).unwrap()["b"].drawn == 5
@@ -100,7 +100,7 @@
     assert (len(link.sent), len(books.written)) == (1, 2)
 
 
-def test_a_second_writer_is_asked_before_an_instance_writes_beside_it(world):
+def test_second_writer_is_asked_before_an_instance_writes_by_itself(world):
     drawer, peers, link, books = world
     peers.record_heartbeat(beat("m00"), 0.0)
     peers.record_heartbeat(beat("m01"), 0.0)
@@ -115,14 +115,14 @@
 
 
 @pytest.mark.parametrize("changes", [{"store_confirmed": False}, {"ready": False}])
-def test_an_instance_out_of_reach_or_stopping_is_no_writer(world, changes):
+def test_instance_without_the_store_or_stopping_is_no_writer(world, changes):
     drawer, peers, link, _ = world
     peers.record_heartbeat(beat("m0", **changes), 0.0)
     drawer.draw_for_holder(ORDERS)
     assert link.sent == []
 
 
-def test_a_late_reply_is_dropped(world):
+def test_late_reply_is_dropped(world):
     drawer, *_ = world
     drawer.handle_reply(DrawReply(77, {}))
 
@@ -138,7 +138,7 @@
     link.deliver = deliver
 
 
-def test_a_writer_that_waits_for_a_slow_store_is_waited_for(world):
+def test_accepted_request_waits_for_a_writer_with_a_slow_store(world):
     drawer, peers, link, books = world
     peers.record_heartbeat(beat("m0"), 0.0)
     slow_writer(drawer, link, 0.2, {"b": DrawResult(drawn=9)})
@@ -146,7 +146,7 @@
     assert books.written == []
 
 
-def test_a_writer_that_failed_says_so_and_is_avoided(world):
+def test_writer_whose_write_failed_is_avoided(world):
     drawer, peers, link, books = world
     peers.record_heartbeat(beat("m0"), 0.0)
     slow_writer(drawer, link, 0.0, None)
@@ -155,22 +155,22 @@
     assert (len(link.sent), len(books.written)) == (1, 2)
 
 
-def test_a_writer_accepts_before_it_writes_and_tells_a_failure(world):
+def test_writer_accepts_before_it_writes_and_reports_a_failure(world):
     drawer, _, link, books = world
     books.draw_for_holder = lambda orders: Failure(PlatformUnavailable("down"))
     drawer.handle_draw_request(DrawRequest(3, ORDERS), ("m1", 1))
     assert link.sent == [DrawAccepted(3), DrawReply(3, None)]
 
 
-def test_an_instance_with_a_narrow_link_does_not_write_for_others(world):
+def test_instance_with_low_bandwidth_does_not_write_for_others(world):
     drawer, peers, link, books = world
-    peers.record_heartbeat(beat("m0", bandwidth=NARROW), 0.0)
+    peers.record_heartbeat(beat("m0", bandwidth=LOW_BANDWIDTH), 0.0)
     drawer.draw_for_holder(ORDERS)
     assert (link.sent, books.written) == ([], [ORDERS])
 
 
-def test_a_writer_that_is_slow_is_left_alone(world, monkeypatch):
-    """Instances that write beside a slow writer collide with it and slow it down further."""
+def test_no_instance_writes_concurrently_with_a_slow_writer(world, monkeypatch):
+    """Concurrent writes would conflict with those of a slow writer and slow it down further."""
     monkeypatch.setattr("whinrack.gossip._draw_coordinator._WRITE_TIMEOUT_SECONDS", 0.05)
     drawer, peers, link, books = world
     peers.record_heartbeat(beat("m0"), 0.0)
@@ -179,7 +179,7 @@
     assert books.written == []
 
 
-def test_the_writer_gives_back_what_earlier_runs_of_others_held(world):
+def test_writer_releases_tokens_of_earlier_runs_of_other_instances(world):
     drawer, peers, link, books = world
     peers.record_heartbeat(beat("m0"), 0.0)
     link.deliver = lambda request: drawer.handle_reply(ReleaseReply(request.request_id, [ROW]))
@@ -187,13 +187,13 @@
     assert (link.sent, books.written) == ([ReleaseRequest(1, "a", RELEASE)], [])
 
 
-def test_without_a_writer_an_instance_gives_back_by_itself(world):
+def test_instance_releases_tokens_by_itself_without_another_writer(world):
     drawer, _, link, books = world
     assert drawer.release_runs("a", RELEASE).unwrap() == [ROW]
     assert (link.sent, books.written) == ([], [RELEASE])
 
 
-def test_a_writer_tells_what_it_gave_back_for_a_peer(world):
+def test_writer_reports_what_it_released_for_a_peer(world):
     drawer, _, link, _ = world
     drawer.handle_release_request(ReleaseRequest(4, "a", RELEASE), ("m1", 1))
     assert link.sent == [DrawAccepted(4), ReleaseReply(4, [ROW])]
--- a/whinrack/gossip/tests/test_link.py
+++ b/whinrack/gossip/tests/test_link.py
@@ -7,20 +7,20 @@
 
 from whinrack.gossip import GossipLink, Heartbeat, PeerAddress, PeerState, TargetLoads
 
-HERE = ("127.0.0.1", 0)
+ANY_LOCAL_PORT = ("127.0.0.1", 0)
 
 
 @pytest.fixture
 def link():
     """A link that keeps what it takes in and counts what it sends."""
-    heard, sent = [], []
+    received, sent = [], []
     link = GossipLink(
-        HERE,
-        lambda message, address: heard.append(message),
+        ANY_LOCAL_PORT,
+        lambda message, address: received.append(message),
         lambda name, address, size: sent.append((name, size)),
     )
     link.start()
-    link.heard, link.sent_sizes = heard, sent
+    link.received, link.sent_sizes = received, sent
     yield link
     link.stop()
 
@@ -40,29 +40,29 @@
     return Heartbeat(state=state, number=1, **fields)
 
 
-def hear(link, *datagrams):
+def deliver(link, *datagrams):
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sender:
         for data in datagrams:
             sender.sendto(data, link.address)
     eventlet.sleep(0.05)
 
 
-def test_what_is_no_message_is_dropped_and_counted(link):
+def test_malformed_datagrams_are_dropped_and_counted(link):
     whole = msgspec.msgpack.encode(heartbeat())
-    hear(link, b"", b"\xff\xfe", whole[:-3], whole + b"x", b"\x91\xa5other", whole)
-    assert len(link.heard) == 1
+    deliver(link, b"", b"\xff\xfe", whole[:-3], whole + b"x", b"\x91\xa5other", whole)
+    assert len(link.received) == 1
     assert link.malformed_count == 5
 
 
-def test_messages_of_an_older_and_of_a_newer_version_are_understood(link):
+def test_messages_of_older_and_newer_versions_are_decoded(link):
     older = msgspec.msgpack.encode(["loads", "b", {7: 2}])
     newer = msgspec.msgpack.encode(["loads", "b", {7: 2}, {7: 300}, "more"])
-    hear(link, older, newer)
-    assert link.heard == [TargetLoads("b", {7: 2}), TargetLoads("b", {7: 2}, {7: 300})]
+    deliver(link, older, newer)
+    assert link.received == [TargetLoads("b", {7: 2}), TargetLoads("b", {7: 2}, {7: 300})]
     assert link.malformed_count == 0
 
 
-def test_heartbeats_with_states_are_counted_apart(link):
+def test_heartbeats_with_states_are_counted_separately(link):
     beat = heartbeat()
     link.send(beat, link.address)
     link.send(heartbeat(passed_on=[beat.state]), link.address)
--- a/whinrack/gossip/tests/test_peers.py
+++ b/whinrack/gossip/tests/test_peers.py
@@ -23,10 +23,10 @@
 
 
 def beat(peers=(), passed_on=(), ages=None, number=None, **fields):
-    told = state(**fields)
+    own = state(**fields)
     return Heartbeat(
-        state=told,
-        number=told.sequence if number is None else number,
+        state=own,
+        number=own.sequence if number is None else number,
         peers=list(peers),
         passed_on=list(passed_on),
         ages={} if ages is None else ages,
@@ -52,7 +52,7 @@
     return [view.state.sender.name for view in views]
 
 
-def test_a_peer_is_live_until_it_is_silent():
+def test_peer_is_live_until_the_silence_timeout():
     peers = table()
     assert peers.record_heartbeat(beat(), 0.0)
     assert names(peers.live_peers(1.0)) == ["b"]
@@ -60,11 +60,11 @@
     assert peers.count_live_instances(1.1) == 1
 
 
-def test_an_instance_is_no_peer_of_its_own():
+def test_instance_is_not_a_peer_of_itself():
     assert not table().record_heartbeat(beat(name="a"), 0.0)
 
 
-def test_old_and_doubled_heartbeats_change_nothing():
+def test_outdated_heartbeats_change_nothing():
     peers = table()
     peers.record_heartbeat(beat(sequence=5, ready=False), 0.0)
     assert not peers.record_heartbeat(beat(sequence=4), 0.5)
@@ -72,27 +72,27 @@
     assert peers.live_peers(1.2) == []
 
 
-def test_a_new_run_is_news_though_its_numbers_begin_anew():
+def test_new_run_replaces_the_old_one_though_its_numbers_start_again():
     peers = table()
     peers.record_heartbeat(beat(sequence=50), 0.0)
     assert peers.record_heartbeat(beat(run="2", sequence=1), 0.1)
     assert [view.state.incarnation for view in peers.live_peers(0.1)] == ["b.2"]
 
 
-def test_only_ready_peers_are_named_to_callers():
+def test_only_ready_peers_are_offered_to_callers():
     peers = table()
     peers.record_heartbeat(beat(), 0.0)
     peers.record_heartbeat(beat(name="c", ready=False, port=10), 0.0)
     assert names(peers.ready(0.0)) == ["b"]
 
 
-def test_peers_of_peers_get_heartbeats_too():
+def test_heartbeats_go_to_addresses_learned_from_peers():
     peers = table()
     peers.record_heartbeat(beat(peers=[PeerAddress("c", "127.0.0.2", 9)]), 0.0)
     assert set(addresses_of(peers, 0.0)) == {("127.0.0.1", 9), ("127.0.0.2", 9)}
 
 
-def test_addresses_from_which_nothing_is_heard_are_forgotten():
+def test_addresses_without_heartbeats_are_removed():
     peers = table()
     peers.add_addresses([("127.0.0.3", 9)], 0.0)
     assert addresses_of(peers, 9.0) == [("127.0.0.3", 9)]
@@ -107,7 +107,7 @@
     return peers
 
 
-def test_in_a_full_mesh_only_what_is_heard_directly_is_live():
+def test_passed_on_states_do_not_make_peers_live_in_a_full_mesh():
     peers = table()
     peers.record_heartbeat(beat(**of_age(10, state(name="c", port=10))), 0.0)
     assert names(peers.live_peers(0.0)) == ["b"]
@@ -120,7 +120,7 @@
     return view
 
 
-def test_in_a_large_fleet_each_hears_of_others():
+def test_passed_on_states_make_peers_live_in_a_large_fleet():
     peers = large_table()
     peers.record_heartbeat(
         beat(name="p0", port=0, sequence=2, **of_age(50, state(name="c", port=99))), 1.0
@@ -128,7 +128,7 @@
     assert view_of(peers, "c", 1.0).heard_at == 0.5
 
 
-def test_one_answer_of_a_peer_that_knows_a_large_fleet_is_enough_to_know_it():
+def test_one_heartbeat_with_all_states_is_enough_to_know_a_large_fleet():
     peers = table()
     others = [state(name=f"p{number}", port=number) for number in range(20)]
     peers.record_heartbeat(beat(**of_age(10, *others)), 0.0)
@@ -136,7 +136,7 @@
     assert not peers.is_full_mesh
 
 
-def test_what_is_passed_on_grows_old_on_the_way():
+def test_ages_increase_when_passed_on():
     peers = large_table()
     peers.record_heartbeat(beat(name="p0", port=0, sequence=2), 2.0)
     ages = peers.ages(2.5)
@@ -144,7 +144,7 @@
     assert set(ages.values()) == {250}
 
 
-def test_a_word_of_a_known_state_keeps_its_instance_alive():
+def test_reported_age_keeps_a_known_peer_live():
     peers = large_table()
     known = {state(name="p3").digest: 10}
     peers.record_heartbeat(beat(name="p0", port=0, sequence=2, ages=known), 4.5)
@@ -152,15 +152,15 @@
     assert not peers.pop_missing_states_flag()
 
 
-def test_a_word_of_an_unknown_run_shows_that_its_state_is_lacking():
+def test_reported_age_of_an_unknown_run_marks_its_state_as_missing():
     peers = large_table()
     peers.record_heartbeat(beat(name="p0", port=0, sequence=2, ages={1234: 10}), 0.5)
     assert peers.pop_missing_states_flag()
     assert not peers.pop_missing_states_flag()
 
 
-def test_once_all_states_were_told_a_word_of_this_instance_itself_lacks_nothing():
-    """Peers tell how long ago they heard this instance, and its earlier run."""
+def test_reported_ages_of_own_runs_do_not_count_as_missing_states():
+    """Peers also report ages of the receiving instance itself and of its earlier run."""
     peers = large_table()
     own = [state(name="a", run=run, port=90) for run in ("1", "2")]
     ages = {each.digest: 10 for each in own}
@@ -170,15 +170,15 @@
     assert not peers.pop_missing_states_flag()
 
 
-def test_two_instances_that_know_everybody_ask_for_all_states_once_at_most():
-    one, other = (PeerTable(name, 1.0, 10.0, seed=1) for name in ("p0", "p1"))
-    for table_ in (one, other):
+def test_instances_that_know_all_peers_request_states_at_most_once():
+    first, second = (PeerTable(name, 1.0, 10.0, seed=1) for name in ("p0", "p1"))
+    for peers in (first, second):
         for number in range(30):
-            table_.record_heartbeat(beat(name=f"p{number}", port=number), 0.0)
+            peers.record_heartbeat(beat(name=f"p{number}", port=number), 0.0)
     asked = 0
     for turn in range(1, 10):
         now = turn * 0.1
-        for asker, answerer, number in ((one, other, 1), (other, one, 0)):
+        for asker, answerer, number in ((first, second, 1), (second, first, 0)):
             message = _beat_of(answerer, number, 2 * turn, now)
             asker.record_heartbeat(message, now)
             if asker.pop_missing_states_flag():
@@ -190,17 +190,17 @@
     assert asked <= 2
 
 
-def test_a_silent_peer_is_not_kept_alive_by_what_others_pass_on():
-    """Two instances that tell each other of a third don't refresh it."""
-    one, other = large_table(seed=1), large_table(seed=2)
+def test_silent_peer_is_not_kept_live_by_passed_on_ages():
+    """Two instances that report the age of a third to each other must not refresh it."""
+    first, second = large_table(seed=1), large_table(seed=2)
     for turn in range(1, 40):
         now = turn * 0.2
-        one.record_heartbeat(beat(name="x", port=70, sequence=turn, ages=other.ages(now)), now)
-        other.record_heartbeat(beat(name="y", port=71, sequence=turn, ages=one.ages(now)), now)
-    assert set(names(one.live_peers(8.0))) <= {"x", "y"}
+        first.record_heartbeat(beat(name="x", port=70, sequence=turn, ages=second.ages(now)), now)
+        second.record_heartbeat(beat(name="y", port=71, sequence=turn, ages=first.ages(now)), now)
+    assert set(names(first.live_peers(8.0))) <= {"x", "y"}
 
 
-def test_an_older_run_that_is_told_late_does_not_replace_a_newer_one():
+def test_older_run_reported_late_does_not_replace_a_newer_one():
     peers = large_table()
     peers.record_heartbeat(beat(name="p0", port=0, run="2", sequence=1), 1.0)
     late = state(name="p0", port=0, run="1", sequence=9)
@@ -208,7 +208,7 @@
     assert view_of(peers, "p0", 1.1).state.incarnation == "p0.2"
 
 
-def test_a_state_is_passed_on_some_times_and_again_when_it_changes():
+def test_state_is_passed_on_a_few_times_and_again_after_a_change():
     peers = large_table(size=20)
     for _ in range(4):
         assert len(peers.take_states_to_pass_on(0.0)) == 20
@@ -218,14 +218,14 @@
     assert (news.sender.name, news.ready) == ("p7", False)
 
 
-def test_in_a_large_fleet_heartbeats_go_to_all_in_turn():
+def test_heartbeats_of_a_large_fleet_go_to_all_peers_in_turn():
     peers = large_table()
     rounds = [addresses_of(peers, 0.0) for _ in range(5)]
     assert all(len(targets) <= 8 for targets in rounds)
     assert len({address for targets in rounds for address in targets}) == 30
 
 
-def test_a_few_addresses_that_nothing_was_heard_from_are_tried_too():
+def test_some_addresses_without_a_known_instance_are_tried():
     peers = large_table()
     unheard = [("127.0.0.9", port) for port in range(5)]
     peers.add_addresses(unheard, 0.0)
@@ -233,7 +233,7 @@
     assert len(tried) == 2
 
 
-def test_work_is_shared_by_those_that_serve_in_a_large_fleet_and_by_all_in_a_small_one():
+def test_work_is_shared_by_serving_instances_in_a_large_fleet_and_by_all_in_a_small_one():
     small, large = table(), large_table()
     small.record_heartbeat(beat(), 0.0)
     assert small.count_sharing_instances(0.0) == 2
@@ -272,7 +272,7 @@
     assert len(set(far)) == 40
 
 
-def test_an_instance_alone_in_its_hall_sends_all_heartbeats_to_others():
+def test_only_instance_of_a_hall_sends_all_heartbeats_to_other_halls():
     peers = PeerTable("a", 1.0, 10.0, seed=1, data_hall="h0")
     for number in range(30):
         peers.record_heartbeat(beat(name=f"p{number}", port=number, data_hall="h1"), 0.0)
@@ -280,7 +280,7 @@
     assert (len(receivers.own_hall), len(receivers.other_halls)) == (0, 6)
 
 
-def test_a_hall_without_others_gets_all_heartbeats():
+def test_all_heartbeats_stay_in_the_only_hall():
     peers = PeerTable("a", 1.0, 10.0, seed=1, data_hall="h")
     for number in range(30):
         peers.record_heartbeat(beat(name=f"p{number}", port=number), 0.0)
@@ -288,7 +288,7 @@
     assert (len(receivers.own_hall), len(receivers.other_halls)) == (6, 0)
 
 
-def test_another_hall_is_told_of_the_own_hall_only():
+def test_heartbeats_to_another_hall_cover_the_own_hall_only():
     peers = fleet_in_halls()
     assert len(peers.ages(0.0)) == 100
     assert len(peers.ages(0.0, own_hall_only=True)) == 20
@@ -296,52 +296,52 @@
     assert {state.data_hall for state in told} == {"h0"}
 
 
-def test_every_state_reaches_all_of_a_large_fleet_within_a_few_rounds():
-    """Eighty instances that send to a few each hear of all others, and go on doing so."""
+def test_states_reach_all_of_a_large_fleet_within_a_few_rounds():
+    """All of eighty instances must become live at each other within nine rounds and stay so."""
     size = 80
     tables = [
         PeerTable(f"p{number}", silent_seconds=0.9, forget_seconds=60.0, seed=number)
         for number in range(size)
     ]
     by_address = {("127.0.0.1", number): table for number, table in enumerate(tables)}
-    for table_ in tables:
-        table_.add_addresses([("127.0.0.1", 0), ("127.0.0.1", 1)], 0.0)
+    for peers in tables:
+        peers.add_addresses([("127.0.0.1", 0), ("127.0.0.1", 1)], 0.0)
     fewest_live = []
     for turn in range(1, 16):
         now = turn * 0.5
-        for number, table_ in enumerate(tables):
-            message = _beat_of(table_, number, 2 * turn, now)
-            for address in addresses_of(table_, now):
+        for number, peers in enumerate(tables):
+            message = _beat_of(peers, number, 2 * turn, now)
+            for address in addresses_of(peers, now):
                 heard, other = by_address[address], address[1]
                 if heard.record_heartbeat(message, now) or message.requests_states:
                     # A newcomer is answered at once.
-                    table_.record_heartbeat(
+                    peers.record_heartbeat(
                         _beat_of(heard, other, 2 * turn + 1, now, whole=True), now
                     )
-        fewest_live.append(min(table_.count_live_instances(now) for table_ in tables))
+        fewest_live.append(min(peers.count_live_instances(now) for peers in tables))
     assert fewest_live[8] == size
     assert min(fewest_live[8:]) == size
 
 
-def test_a_changed_state_reaches_every_instance_of_a_large_fleet():
-    """Passed on by each instance a few times only; those that miss it have an older state."""
+def test_changed_state_reaches_every_instance_of_a_large_fleet():
+    """Each instance passes a state on only a few times; the change must still reach all."""
     size = 87
     tables = [PeerTable(f"p{n}", 1.0, 60.0, seed=n) for n in range(size)]
-    by_address = {("127.0.0.1", n): table_ for n, table_ in enumerate(tables)}
-    for number, table_ in enumerate(tables):
+    by_address = {("127.0.0.1", n): peers for n, peers in enumerate(tables)}
+    for number, peers in enumerate(tables):
         for other in range(size):
             if other != number:
-                table_.record_heartbeat(beat(name=f"p{other}", port=other), 0.0)
+                peers.record_heartbeat(beat(name=f"p{other}", port=other), 0.0)
         for _ in range(4):
-            table_.take_states_to_pass_on(0.0)
+            peers.take_states_to_pass_on(0.0)
     for turn in range(1, 11):
         now = turn * 0.5
-        for number, table_ in enumerate(tables):
-            message = _beat_of(table_, number, 2 * turn, now)
+        for number, peers in enumerate(tables):
+            message = _beat_of(peers, number, 2 * turn, now)
             ready = number != 0
             told = msgspec.structs.replace(message.state, sequence=1 if ready else 2, ready=ready)
             message = msgspec.structs.replace(message, state=told)
-            for address in addresses_of(table_, now):
+            for address in addresses_of(peers, now):
                 by_address[address].record_heartbeat(message, now)
     behind = [n for n in range(1, size) if view_of(tables[n], "p0", 5.0).state.ready]
     assert behind == []
@@ -360,13 +360,16 @@
     return msgspec.structs.replace(message, requests_states=peers.pop_missing_states_flag())
 
 
-def test_in_halls_all_hear_of_all_though_other_halls_are_told_of_the_own_hall_only():
-    """A hundred instances in five halls, one datagram in twenty lost: nobody looks lost."""
+def test_all_instances_stay_live_across_halls_with_lost_datagrams():
+    """Heartbeats to other halls cover the own hall only, and one datagram in twenty is lost.
+
+    All of a hundred instances in five halls must become live at each other and stay so.
+    """
     size, halls = 100, 5
     lost = random.Random(1)
     tables = [PeerTable(f"p{n}", 0.9, 60.0, seed=n, data_hall=f"h{n % halls}") for n in range(size)]
-    for table_ in tables:
-        table_.add_addresses([("127.0.0.1", 0), ("127.0.0.1", 1), ("127.0.0.1", 2)], 0.0)
+    for peers in tables:
+        peers.add_addresses([("127.0.0.1", 0), ("127.0.0.1", 1), ("127.0.0.1", 2)], 0.0)
     fewest_live = []
     for turn in range(1, 31):
         now = turn * 0.5
@@ -378,7 +381,7 @@
                 if hearer.record_heartbeat(message, now) or message.requests_states:
                     whole = _beat_of(hearer, address[1], 2 * turn + 1, now, whole=True)
                     tables[number].record_heartbeat(whole, now)
-        fewest_live.append(min(table_.count_live_instances(now) for table_ in tables))
+        fewest_live.append(min(peers.count_live_instances(now) for peers in tables))
     assert fewest_live[7] == size
     assert min(fewest_live[7:]) == size
 
@@ -396,39 +399,40 @@
     return near + [(address, brief) for address in receivers.other_halls]
 
 
-def test_an_instance_that_ended_is_named_nowhere_soon_after_not_even_by_hearsay():
-    """Eighty instances go on telling each other how long ago each was heard.
+def test_ended_instance_is_soon_offered_by_no_other_instance():
+    """Passed-on ages must not keep an ended instance among the ready peers.
 
-    One ends, one starts anew a second later and hears all from the others; four seconds of contact
-    and three more are what naming it may last.
+    Of eighty instances one ends and another one restarts a second later, which learns all states
+    from the others. No instance may offer the ended one after seven seconds: about four seconds
+    of silence timeout and three more.
     """
-    size, ended, started_anew = 80, 5, 6
+    size, ended, restarted = 80, 5, 6
     tables = [PeerTable(f"p{n}", 0.9, 60.0, seed=n) for n in range(size)]
-    for number, table_ in enumerate(tables):
+    for number, peers in enumerate(tables):
         for other in range(size):
             if other != number:
-                table_.record_heartbeat(beat(name=f"p{other}", port=other), 0.0)
+                peers.record_heartbeat(beat(name=f"p{other}", port=other), 0.0)
     for turn in range(1, 15):
         now = turn * 0.5
         if turn == 2:
-            tables[started_anew] = PeerTable(f"p{started_anew}", 0.9, 60.0, seed=99)
-            tables[started_anew].add_addresses([("127.0.0.1", 0)], now)
-        for number, table_ in enumerate(tables):
+            tables[restarted] = PeerTable(f"p{restarted}", 0.9, 60.0, seed=99)
+            tables[restarted].add_addresses([("127.0.0.1", 0)], now)
+        for number, peers in enumerate(tables):
             if number == ended:
                 continue
-            message = _beat_of(table_, number, 2 * turn, now)
-            for address in addresses_of(table_, now):
+            message = _beat_of(peers, number, 2 * turn, now)
+            for address in addresses_of(peers, now):
                 hearer, other = tables[address[1]], address[1]
                 if other == ended:
                     continue
                 if hearer.record_heartbeat(message, now) or message.requests_states:
-                    table_.record_heartbeat(
+                    peers.record_heartbeat(
                         _beat_of(hearer, other, 2 * turn + 1, now, whole=True), now
                     )
-    naming = [
+    offering = [
         number
-        for number, table_ in enumerate(tables)
-        if number != ended and f"p{ended}" in {view.state.sender.name for view in table_.ready(now)}
+        for number, peers in enumerate(tables)
+        if number != ended and f"p{ended}" in {view.state.sender.name for view in peers.ready(now)}
     ]
-    assert naming == []
-    assert len(tables[started_anew].ready(now)) == size - 2
+    assert offering == []
+    assert len(tables[restarted].ready(now)) == size - 2
--- a/whinrack/gossip/tests/test_token_source.py
+++ b/whinrack/gossip/tests/test_token_source.py
@@ -50,7 +50,7 @@
     )
 
 
-def lend(world, *beats):
+def peers_asked_to_lend(world, *beats):
     spares, peers, link = world
     for heartbeat in beats:
         peers.record_heartbeat(heartbeat, 0.0)
@@ -59,19 +59,22 @@
 
 
 def test_one_peer_that_reaches_the_store_is_asked_to_lend(world):
-    asked = lend(world, beat("b", store_answers=False), beat("c"), beat("d", ready=False))
+    asked = peers_asked_to_lend(
+        world, beat("b", store_answers=False), beat("c"), beat("d", ready=False)
+    )
     assert asked == ["c"]
 
 
-def test_a_stopping_peer_lends_where_no_other_reaches_the_store(world):
-    assert lend(world, beat("b", store_answers=False), beat("d", ready=False)) == ["d"]
+def test_stopping_peer_lends_if_no_other_reaches_the_store(world):
+    asked = peers_asked_to_lend(world, beat("b", store_answers=False), beat("d", ready=False))
+    assert asked == ["d"]
 
 
-def test_nobody_is_asked_where_nobody_reaches_the_store(world):
-    assert lend(world, beat("b", store_answers=False)) == []
+def test_no_peer_is_asked_if_none_reaches_the_store(world):
+    assert peers_asked_to_lend(world, beat("b", store_answers=False)) == []
 
 
-def test_in_a_large_fleet_only_those_that_hold_tokens_are_asked():
+def test_only_peers_that_hold_tokens_are_asked_in_a_large_fleet():
     peers, link = PeerTable("me", 1.0, 10.0), Link()
     for number in range(30):
         peers.record_heartbeat(beat(f"p{number}", holds_tokens=number < 3), steady())
@@ -83,7 +86,7 @@
     assert spares.peer_count() == 3
 
 
-def supplier_asked(world, budget, *beats):
+def suppliers_asked(world, budget, *beats):
     spares, peers, link = world
     for heartbeat in beats:
         peers.record_heartbeat(heartbeat, 0.0)
@@ -97,34 +100,34 @@
     return [each for each in names if rendezvous(f"supply/{each}", candidates)[0] == name]
 
 
-def test_a_budget_has_one_supplier_which_is_asked_twice(world):
+def test_the_only_supplier_of_a_budget_is_asked_twice(world):
     (budget, *_) = budgets_of("c", ["a", "b", "c"])
-    assert supplier_asked(world, budget, beat("b"), beat("c")) == ["c", "c"]
+    assert suppliers_asked(world, budget, beat("b"), beat("c")) == ["c", "c"]
 
 
-def test_a_supplier_that_does_not_reply_is_passed_over(world):
+def test_supplier_that_does_not_reply_is_replaced(world):
     (budget, *_) = budgets_of("c", ["a", "b", "c"])
-    supplier_asked(world, budget, beat("b"), beat("c"))
+    suppliers_asked(world, budget, beat("b"), beat("c"))
     left = rendezvous(f"supply/{budget}", ["a", "b"])[0]
     assert world[0].is_supplier(budget) == (left == "a")
 
 
-def test_the_supplier_itself_asks_nobody(world):
+def test_the_supplier_itself_asks_no_peer(world):
     (budget, *_) = budgets_of("a", ["a", "b", "c"])
-    assert supplier_asked(world, budget, beat("b"), beat("c")) == []
+    assert suppliers_asked(world, budget, beat("b"), beat("c")) == []
     assert world[0].is_supplier(budget)
 
 
-def test_a_stopping_instance_supplies_nobody(world):
+def test_stopping_instance_is_no_supplier(world):
     (budget, *_) = budgets_of("c", ["a", "b", "c"])
-    (other, *_) = budgets_of("a", ["a", "b", "c"])
-    assert "c" not in supplier_asked(world, budget, beat("b"), beat("c", ready=False))
+    (own_budget, *_) = budgets_of("a", ["a", "b", "c"])
+    assert "c" not in suppliers_asked(world, budget, beat("b"), beat("c", ready=False))
     world[0].own_state = lambda: beat("a", ready=False).state
     world[0]._supplier_cache.clear()
-    assert not world[0].is_supplier(other)
+    assert not world[0].is_supplier(own_budget)
 
 
-def test_instances_with_narrow_links_supply_nothing(world):
+def test_instances_with_low_bandwidth_are_no_suppliers(world):
     spares, peers, _ = world
     for name, bandwidth in (("b", 5.0), ("c", 100.0), ("d", 100.0)):
         peers.record_heartbeat(beat(name, bandwidth=bandwidth), 0.0)
@@ -132,8 +135,8 @@
     assert {spares.supplier(f"b{number}") for number in range(20)} == {"c", "d"}
 
 
-def test_the_supplier_is_told_to_the_log(world):
-    (own, *_) = budgets_of("a", ["a", "c"])
-    (other, *_) = budgets_of("c", ["a", "c"])
+def test_supplier_name_for_logs(world):
+    (own_budget, *_) = budgets_of("a", ["a", "c"])
+    (peer_budget, *_) = budgets_of("c", ["a", "c"])
     world[1].record_heartbeat(beat("c"), 0.0)
-    assert (world[0].supplier(own), world[0].supplier(other)) == ("", "c")
+    assert (world[0].supplier(own_budget), world[0].supplier(peer_budget)) == ("", "c")
--- a/whinrack/gossip/tests/test_versions.py
+++ b/whinrack/gossip/tests/test_versions.py
@@ -36,7 +36,7 @@
     asks_for_states: bool = False
 
 
-def test_a_later_heartbeat_is_read_by_an_earlier_version():
+def test_earlier_version_decodes_a_later_heartbeat():
     beat = Heartbeat(
         state=STATE,
         number=3,
@@ -49,7 +49,7 @@
     assert (read.number, read.leaving) == (3, ["t"])
 
 
-def test_an_earlier_heartbeat_is_read_by_a_later_version():
+def test_later_version_decodes_an_earlier_heartbeat():
     assert len(EarlierHeartbeat.__struct_fields__) == _EARLIER_FIELDS
     beat = EarlierHeartbeat(state=STATE, number=3, leaving=["t"])
     read = msgspec.msgpack.decode(msgspec.msgpack.encode(beat), type=Message)
@@ -61,13 +61,13 @@
     assert read.emptied_halls == []
 
 
-def test_words_on_halls_travel_with_a_heartbeat():
-    words = [HallStatus("z", 4, True), HallStatus("odd \u20ac\u0001", 9, False)]
-    beat = Heartbeat(state=STATE, emptied_halls=words)
-    assert msgspec.msgpack.decode(msgspec.msgpack.encode(beat), type=Message).emptied_halls == words
+def test_emptied_halls_survive_encoding():
+    halls = [HallStatus("z", 4, True), HallStatus("odd \u20ac\u0001", 9, False)]
+    beat = Heartbeat(state=STATE, emptied_halls=halls)
+    assert msgspec.msgpack.decode(msgspec.msgpack.encode(beat), type=Message).emptied_halls == halls
 
 
-def test_a_message_that_an_earlier_version_does_not_know_is_none_of_its_own():
+def test_earlier_version_rejects_an_unknown_kind_of_message():
     message = SuspectCases("a", [Case(fingerprint="f")])
     with pytest.raises(msgspec.ValidationError):
         msgspec.msgpack.decode(msgspec.msgpack.encode(message), type=EarlierHeartbeat)
--- a/whinrack/membership/_members.py
+++ b/whinrack/membership/_members.py
@@ -58,10 +58,10 @@
         """Take in a heartbeat or its reply; True if the peer looked dead before."""
         if member.name == self.name:
             return False
-        back = not self._is_alive(member.name, now)
+        was_silent = not self._is_alive(member.name, now)
         self._members[member.name] = member
         self._heard_at[member.name] = now
-        return back
+        return was_silent
 
     def update_from_list(self, records: Iterable[InstanceRecord], now: float) -> None:
         """Take in the platform's list."""
@@ -81,8 +81,8 @@
         """Return instances that any source says are leaving."""
         for name, at in list(self._leaving_since.items()):
             record = self._listed_instances.get(name)
-            still = record is not None and record.state is InstanceState.LEAVING
-            if not still and now - at > _LEAVING_MEMORY_SECONDS:
+            is_listed = record is not None and record.state is InstanceState.LEAVING
+            if not is_listed and now - at > _LEAVING_MEMORY_SECONDS:
                 del self._leaving_since[name]
         return set(self._leaving_since)
 
@@ -168,9 +168,9 @@
         return [member.incarnation for member in self.live_members(now) if not member.leaving]
 
     def _is_alive(self, name: str, now: float) -> bool:
-        at = self._heard_at.get(name)
-        patience = self.suspect_after * max(1.0, len(self._members) / _FULL_MESH_SIZE)
-        return at is not None and now - at <= patience
+        heard_at = self._heard_at.get(name)
+        timeout = self.suspect_after * max(1.0, len(self._members) / _FULL_MESH_SIZE)
+        return heard_at is not None and now - heard_at <= timeout
 
     def _is_leaving(self, member: Member) -> bool:
         record = self._listed_instances.get(member.name)
--- a/whinrack/quarantine/_attribution.py
+++ b/whinrack/quarantine/_attribution.py
@@ -24,10 +24,10 @@
     unexplained = {case.fingerprint: set(case.ends) for case in cases}
     found: set[str] = set()
     while unexplained:
-        most = max(len(ends) for ends in unexplained.values())
-        if most < BLAME_THRESHOLD:
+        max_ends = max(len(ends) for ends in unexplained.values())
+        if max_ends < BLAME_THRESHOLD:
             break
-        culprits = {name for name, ends in unexplained.items() if len(ends) == most}
+        culprits = {name for name, ends in unexplained.items() if len(ends) == max_ends}
         explained: set[TargetEnd] = set().union(*(unexplained[name] for name in culprits))
         found |= culprits
         unexplained = {
--- a/whinrack/quarantine/_case_store.py
+++ b/whinrack/quarantine/_case_store.py
@@ -49,8 +49,8 @@
 
     def write(self, cases: Iterable[Case]) -> Result[tuple[Case, ...], PlatformFailure]:
         """Merge cases into the stored ones; returns what is stored then."""
-        told = tuple(cases)
-        result = self._editor.apply(_NAME, lambda old: self._merge_into(old, told))
+        new_cases = tuple(cases)
+        result = self._editor.apply(_NAME, lambda old: self._merge_into(old, new_cases))
         return result.map(_decode_cases)
 
     def claim_trial(self, case: Case) -> Result[bool, PlatformFailure]:
--- a/whinrack/quarantine/_quarantine.py
+++ b/whinrack/quarantine/_quarantine.py
@@ -151,29 +151,29 @@
 
     def merge_cases(self, cases: Iterable[Case], source: str) -> list[Case]:
         """Take in what a peer or the store knows; returns what it lacks."""
-        lacking = []
-        for told in cases:
-            before = self.table.get(told.fingerprint, told.workspace)
-            known = self.table.merge(told)
+        missing_at_source = []
+        for reported in cases:
+            before = self.table.get(reported.fingerprint, reported.workspace)
+            known = self.table.merge(reported)
             if len(known.ends) >= SUSPECT_THRESHOLD and self._has_recent_success(known.fingerprint):
                 self._clear(known.fingerprint, known.workspace, "ended well lately")
                 continue
             if len(known.ends) < SUSPECT_THRESHOLD and not known.epoch:
                 continue
-            if known not in (told, before):
+            if known not in (reported, before):
                 # Neither side knew all of it.
                 self._announce(known, source)
-            elif known != told:
-                lacking.append(known)
+            elif known != reported:
+                missing_at_source.append(known)
         self._log_changes()
-        return lacking
+        return missing_at_source
 
     def merge_stored_cases(self, cases: Iterable[Case]) -> None:
         """Take in what the store holds; peers that lack some ask by their checksums."""
-        told = list(cases)
-        self.merge_cases(told, _STORE_SOURCE)
+        stored = list(cases)
+        self.merge_cases(stored, _STORE_SOURCE)
         log_event(
-            Event.QUARANTINE_READ, cases=len(told), kept_out=len(self.table.blamed_fingerprints())
+            Event.QUARANTINE_READ, cases=len(stored), kept_out=len(self.table.blamed_fingerprints())
         )
 
     def remove_expired(self) -> None:
@@ -214,8 +214,8 @@
 
     def _log_changes(self) -> None:
         """Tell which requests are kept out from now on, and which no longer are."""
-        now = self.table.blamed_fingerprints()
-        for fingerprint in now - self._quarantined:
+        blamed = self.table.blamed_fingerprints()
+        for fingerprint in blamed - self._quarantined:
             case = self.table.get(fingerprint)
             log_event(
                 Event.REQUEST_QUARANTINED,
@@ -224,10 +224,10 @@
                 route=case.route,
                 targets=" ".join(case.target_names()),
             )
-        for fingerprint in self._quarantined - now:
+        for fingerprint in self._quarantined - blamed:
             log_event(
                 Event.QUARANTINE_ENDED,
                 fingerprint=fingerprint,
                 why="cleared or explained by others",
             )
-        self._quarantined = now
+        self._quarantined = blamed
--- a/whinrack/quarantine/_table.py
+++ b/whinrack/quarantine/_table.py
@@ -117,20 +117,22 @@
 
     def remove_expired(self, now: float) -> None:
         """Drop what is too old to count, by the Unix time in seconds."""
-        for workspace, own in list(self._single_end_cases.items()):
-            while own and now - next(iter(own.values())).ended_at > _SINGLE_END_LIFETIME_SECONDS:
-                own.popitem(last=False)
+        for workspace, cases in list(self._single_end_cases.items()):
+            while (
+                cases and now - next(iter(cases.values())).ended_at > _SINGLE_END_LIFETIME_SECONDS
+            ):
+                cases.popitem(last=False)
                 self._single_count -= 1
-            if not own:
+            if not cases:
                 del self._single_end_cases[workspace]
-        old = [
+        expired = [
             name
             for name, case in self._suspects.items()
             if now - case.ended_at > SUSPECT_LIFETIME_SECONDS
         ]
-        for name in old:
+        for name in expired:
             del self._suspects[name]
-        if old:
+        if expired:
             self._invalidate_cache()
 
     # --- bounds ------------------------------------------------------------------
@@ -139,16 +141,16 @@
         self._drop_single(case)
         self._suspects[case.fingerprint] = case
         while len(self._suspects) > MAX_SUSPECTS:
-            # The one with the fewest ends, and of these the one that is quiet for longest.
-            least = min(self._suspects.values(), key=lambda one: (len(one.ends), one.ended_at))
-            del self._suspects[least.fingerprint]
+            # Evict the case with the fewest ends, of these the one with the oldest last end.
+            weakest = min(self._suspects.values(), key=lambda case: (len(case.ends), case.ended_at))
+            del self._suspects[weakest.fingerprint]
         self._invalidate_cache()
 
     def _put_single(self, case: Case) -> None:
-        own = self._single_end_cases.setdefault(case.workspace, OrderedDict())
-        self._single_count += case.fingerprint not in own
-        own[case.fingerprint] = case
-        if len(own) > _MAX_PER_WORKSPACE:
+        cases = self._single_end_cases.setdefault(case.workspace, OrderedDict())
+        self._single_count += case.fingerprint not in cases
+        cases[case.fingerprint] = case
+        if len(cases) > _MAX_PER_WORKSPACE:
             self._drop_oldest(case.workspace)
         elif self._single_count > _MAX_SINGLE_END_CASES:
             self._drop_oldest(
@@ -156,15 +158,15 @@
             )
 
     def _drop_oldest(self, workspace: str) -> None:
-        own = self._single_end_cases[workspace]
-        own.popitem(last=False)
+        cases = self._single_end_cases[workspace]
+        cases.popitem(last=False)
         self._single_count -= 1
-        if not own:
+        if not cases:
             del self._single_end_cases[workspace]
 
     def _drop_single(self, case: Case) -> None:
-        own = self._single_end_cases.get(case.workspace, {})
-        if own.pop(case.fingerprint, None) is not None:
+        cases = self._single_end_cases.get(case.workspace, {})
+        if cases.pop(case.fingerprint, None) is not None:
             self._single_count -= 1
 
     def _invalidate_cache(self) -> None:
--- a/whinrack/quarantine/tests/test_attribution.py
+++ b/whinrack/quarantine/tests/test_attribution.py
@@ -10,40 +10,40 @@
     return Case(fingerprint=fingerprint, ends=tuple(TargetEnd(end) for end in ends))
 
 
-def test_three_ends_are_too_many_two_are_not():
+def test_three_ends_are_blamed_and_two_are_not():
     assert find_culprits([case("f", "abc"), case("g", "de")]) == {"f"}
 
 
-def test_neighbours_of_a_blamed_request_go_free():
+def test_requests_that_ran_beside_a_blamed_one_are_not_blamed():
     culprit = case("culprit", "abcd")
     assert find_culprits([culprit, case("neighbour", "abc"), case("other", "bcd")]) == {"culprit"}
 
 
-def test_two_culprits_are_both_found():
+def test_two_culprits_are_both_blamed():
     assert find_culprits([case("one", "abcd"), case("two", "defg")]) == {"one", "two"}
 
 
-def test_a_neighbour_of_two_culprits_goes_free_once_both_are_known():
+def test_request_that_ran_beside_two_culprits_is_not_blamed():
     one, two, neighbour = case("one", "abcd"), case("two", "efgh"), case("neighbour", "aef")
     assert find_culprits([one, two, neighbour]) == {"one", "two"}
 
 
-def test_equal_evidence_blames_both():
+def test_requests_with_equal_evidence_are_both_blamed():
     assert find_culprits([case("one", "abc"), case("two", "abc")]) == {"one", "two"}
 
 
 def storm(seed, targets=6, callers=40, ends=8):
     """Return the cases after a culprit ended some targets; others come again after a cut."""
     chance = random.Random(seed)
-    met = {f"innocent-{number}": set() for number in range(callers)} | {"culprit": set()}
+    ends_of = {f"innocent-{number}": set() for number in range(callers)} | {"culprit": set()}
     for end in range(ends):
         place = chance.randrange(targets)
-        for name, seen in met.items():
+        for name, seen in ends_of.items():
             if name == "culprit" or (len(seen) < 4 and chance.randrange(targets) == place):
                 seen.add(str(end))
-    return [case(name, sorted(seen)) for name, seen in met.items()]
+    return [case(name, sorted(seen)) for name, seen in ends_of.items()]
 
 
-def test_in_storms_nobody_else_is_blamed():
+def test_only_the_culprit_is_blamed_when_interrupted_requests_are_repeated():
     wrong = [seed for seed in range(200) if find_culprits(storm(seed)) != {"culprit"}]
     assert wrong == []
--- a/whinrack/quarantine/tests/test_case_store.py
+++ b/whinrack/quarantine/tests/test_case_store.py
@@ -27,79 +27,79 @@
 
 
 @pytest.fixture
-def archives(store, clock):
+def case_stores(store, clock):
     return [CaseStore(store, lambda: clock[0]) for _ in range(2)]
 
 
-def test_nothing_is_stored_at_first(archives):
-    assert archives[0].read() == Success(())
+def test_nothing_is_stored_at_first(case_stores):
+    assert case_stores[0].read() == Success(())
 
 
-def test_two_instances_write_what_they_know(archives):
-    archives[0].write([case(ends="ab")])
-    archives[1].write([case(ends="bc"), case("g", "de")])
-    known = {one.fingerprint: len(one.ends) for one in archives[0].read().unwrap()}
+def test_writes_of_two_instances_are_merged(case_stores):
+    case_stores[0].write([case(ends="ab")])
+    case_stores[1].write([case(ends="bc"), case("g", "de")])
+    known = {stored.fingerprint: len(stored.ends) for stored in case_stores[0].read().unwrap()}
     assert known == {"f": 3, "g": 2}
 
 
-def test_writing_what_is_stored_is_no_write(store, archives):
-    archives[0].write([case()])
+def test_stored_cases_are_not_written_again(store, case_stores):
+    case_stores[0].write([case()])
     revision = store.revision
-    archives[0].write([case()])
+    case_stores[0].write([case()])
     assert store.revision == revision
 
 
-def test_a_lost_reply_is_written_once_more(store, archives):
+def test_write_with_a_lost_reply_is_repeated(store, case_stores):
     store.lose_replies = 1
-    assert isinstance(archives[0].write([case()]), Success)
+    assert isinstance(case_stores[0].write([case()]), Success)
 
 
-def test_a_store_that_is_down_is_a_failure(store, archives):
+def test_reads_and_writes_fail_while_the_store_is_down(store, case_stores):
     store.down = True
-    assert isinstance(archives[0].write([case()]), Failure)
-    assert isinstance(archives[0].read(), Failure)
+    assert isinstance(case_stores[0].write([case()]), Failure)
+    assert isinstance(case_stores[0].read(), Failure)
 
 
-def test_an_object_that_others_spoilt_is_written_anew(store, archives):
+def test_invalid_stored_object_is_overwritten(store, case_stores):
     for junk in (b"[]", b"7", b'{"cases": 5}', b'{"cases": [[1, 2]]}'):
         store.put("Quarantine", "main", junk, store.revision)
-        assert archives[0].read() == Success(())
-        archives[1].write([case()])
-        assert archives[0].read() == Success((case(),))
+        assert case_stores[0].read() == Success(())
+        case_stores[1].write([case()])
+        assert case_stores[0].read() == Success((case(),))
 
 
-def test_what_ended_nothing_for_a_week_is_dropped(archives, clock):
-    archives[0].write([case("old")])
+def test_case_without_an_end_for_a_week_is_dropped(case_stores, clock):
+    case_stores[0].write([case("old")])
     clock[0] += 8 * 86_400.0
-    archives[0].write([case("new", at=clock[0])])
-    assert [one.fingerprint for one in archives[1].read().unwrap()] == ["new"]
+    case_stores[0].write([case("new", at=clock[0])])
+    assert [stored.fingerprint for stored in case_stores[1].read().unwrap()] == ["new"]
 
 
-def test_a_trial_is_taken_once(archives, clock):
-    archives[0].write([case()])
-    assert archives[0].claim_trial(case()) == Success(False)
+def test_trial_is_claimed_by_one_instance(case_stores, clock):
+    case_stores[0].write([case()])
+    assert case_stores[0].claim_trial(case()) == Success(False)
     clock[0] += 31.0
-    taken = [archive.claim_trial(case()) for archive in archives]
-    assert taken == [Success(True), Success(False)]
+    claimed = [case_store.claim_trial(case()) for case_store in case_stores]
+    assert claimed == [Success(True), Success(False)]
 
 
-def test_two_that_try_at_the_same_moment_get_one_trial(store, archives, clock):
-    archives[0].write([case()])
-    archives[1].read()
+def test_trial_is_claimed_by_one_of_two_concurrent_instances(store, case_stores, clock):
+    case_stores[0].write([case()])
+    case_stores[1].read()
     clock[0] += 31.0
-    store.before_write = lambda: archives[1].claim_trial(case())
-    assert archives[0].claim_trial(case()) == Success(False)
+    store.before_write = lambda: case_stores[1].claim_trial(case())
+    assert case_stores[0].claim_trial(case()) == Success(False)
 
 
-def test_a_trial_whose_write_has_no_answer_is_not_taken(store, archives, clock):
-    archives[0].write([case()])
+def test_trial_is_not_run_if_the_reply_of_its_claim_is_lost(store, case_stores, clock):
+    case_stores[0].write([case()])
     clock[0] += 31.0
     store.lose_replies = 1
-    assert archives[0].claim_trial(case()) == Success(False)
-    assert archives[1].claim_trial(case()) == Success(False)
+    assert case_stores[0].claim_trial(case()) == Success(False)
+    assert case_stores[1].claim_trial(case()) == Success(False)
 
 
-def test_without_the_store_there_is_no_trial(store, archives, clock):
+def test_no_trial_can_be_claimed_while_the_store_is_down(store, case_stores, clock):
     clock[0] += 31.0
     store.down = True
-    assert isinstance(archives[0].claim_trial(case()), Failure)
+    assert isinstance(case_stores[0].claim_trial(case()), Failure)
--- a/whinrack/quarantine/tests/test_cases.py
+++ b/whinrack/quarantine/tests/test_cases.py
@@ -29,40 +29,40 @@
 
 
 @given(CASES, CASES)
-def test_order_does_not_matter(one, two):
-    assert merge_evidence(one, two) == merge_evidence(two, one)
+def test_merge_is_commutative(first, second):
+    assert merge_evidence(first, second) == merge_evidence(second, first)
 
 
 @given(CASES, CASES, CASES)
-def test_grouping_does_not_matter(one, two, three):
-    assert merge_evidence(merge_evidence(one, two), three) == merge_evidence(
-        one, merge_evidence(two, three)
+def test_merge_is_associative(first, second, third):
+    assert merge_evidence(merge_evidence(first, second), third) == merge_evidence(
+        first, merge_evidence(second, third)
     )
 
 
 @given(CASES, CASES)
-def test_the_same_word_once_more_changes_nothing(one, two):
-    known = merge_evidence(one, two)
-    assert merge_evidence(known, two) == known
+def test_merge_is_idempotent(first, second):
+    known = merge_evidence(first, second)
+    assert merge_evidence(known, second) == known
 
 
-def test_several_instances_see_one_end():
+def test_end_that_several_instances_observe_counts_once():
     end = TargetEnd("t", 7)
     case = Case(fingerprint="f").with_end(end, 1.0)
     assert case.with_end(end, 2.0) == case
 
 
-def test_two_starts_of_a_target_are_two_ends():
+def test_ends_of_two_runs_of_a_target_count_twice():
     case = Case(fingerprint="f").with_end(TargetEnd("t", 7), 1.0).with_end(TargetEnd("t", 8), 2.0)
     assert len(case.ends) == 2
 
 
-def test_what_was_known_before_a_clearing_stays_void():
+def test_evidence_from_before_a_clearing_stays_void():
     guilty = Case(fingerprint="f").with_end(TargetEnd("t", 7), 1.0)
     assert merge_evidence(guilty, guilty.cleared()).ends == ()
 
 
-def test_a_case_is_bounded():
+def test_encoded_case_is_bounded():
     case = Case(fingerprint="f")
     for number in range(100):
         case = case.with_end(
--- a/whinrack/quarantine/tests/test_quarantine.py
+++ b/whinrack/quarantine/tests/test_quarantine.py
@@ -16,25 +16,25 @@
 
     def __init__(self, name, store, clock):
         self.name = name
-        self.hears = []
+        self.reachable = []
         self.store_answers = True
-        self.archive = CaseStore(store, lambda: clock[0])
-        self.quarantine = Quarantine(self.archive, self, lambda: clock[0], lambda: clock[0])
+        self.case_store = CaseStore(store, lambda: clock[0])
+        self.quarantine = Quarantine(self.case_store, self, lambda: clock[0], lambda: clock[0])
 
     def send_to_owners(self, case):
         self.send_to_all([case])
 
     def send_to_all(self, cases):
-        for peer in self.hears:
-            lacking = peer.quarantine.merge_cases(cases, self.name)
-            if lacking:
-                self.quarantine.merge_cases(lacking, peer.name)
+        for peer in self.reachable:
+            missing = peer.quarantine.merge_cases(cases, self.name)
+            if missing:
+                self.quarantine.merge_cases(missing, peer.name)
 
     def reaches_store(self):
         return self.store_answers
 
     def schedule_save(self):
-        self.archive.write(self.quarantine.table.suspect_cases())
+        self.case_store.write(self.quarantine.table.suspect_cases())
 
     def compare(self, peer):
         """Do what heartbeats with different checksums do."""
@@ -63,7 +63,7 @@
     def connect(self, *groups):
         for group in groups:
             for instance in group:
-                instance.hears = [peer for peer in group if peer is not instance]
+                instance.reachable = [peer for peer in group if peer is not instance]
 
     def end(self, number, target, *requests):
         self.all[number].quarantine.record_target_end(TargetEnd(target), list(requests))
@@ -77,21 +77,21 @@
     return Fleet()
 
 
-def test_three_ends_at_three_instances_are_three(fleet):
+def test_ends_observed_by_different_instances_add_up(fleet):
     for number, target in enumerate("abc"):
         assert fleet.admits() == [True] * 4
         fleet.end(number, target, DEADLY)
     assert fleet.admits() == [False] * 4
 
 
-def test_one_end_that_all_see_is_one(fleet):
+def test_end_observed_by_all_instances_counts_once(fleet):
     for number in range(4):
         fleet.end(number, "a", DEADLY)
         fleet.end(number, "b", DEADLY)
     assert fleet.admits() == [True] * 4
 
 
-def test_the_caller_is_told_when_the_next_run_is_let_through(fleet):
+def test_refusal_has_the_time_of_the_next_trial(fleet):
     for target in "abc":
         fleet.end(0, target, DEADLY)
     with pytest.raises(RequestQuarantined) as refused:
@@ -99,14 +99,14 @@
     assert 30.0 <= refused.value.retry_after <= 32.0
 
 
-def test_a_run_that_ended_well_clears_the_request_everywhere(fleet):
+def test_successful_run_clears_the_request_on_all_instances(fleet):
     for target in "abc":
         fleet.end(0, target, POPULAR)
     fleet.all[2].quarantine.record_success(POPULAR)
     assert fleet.admits(POPULAR) == [True] * 4
 
 
-def test_a_request_that_ends_well_beside_is_never_blamed(fleet):
+def test_request_with_recent_successes_is_never_quarantined(fleet):
     for number, target in enumerate("abcdef"):
         fleet.clock[0] += 5.0
         fleet.all[3].quarantine.record_success(POPULAR)
@@ -115,7 +115,7 @@
     assert fleet.admits() == [False] * 4
 
 
-def test_neighbours_go_free_once_the_culprit_is_known(fleet):
+def test_neighbour_is_admitted_once_the_culprit_is_known(fleet):
     for target in "abc":
         fleet.end(0, target, DEADLY, NEIGHBOUR)
     assert fleet.admits(NEIGHBOUR) == [False] * 4
@@ -125,7 +125,7 @@
     assert fleet.admits() == [False] * 4
 
 
-def test_two_halves_that_were_cut_apart_put_their_ends_together(fleet):
+def test_evidence_of_two_partitions_is_merged_when_they_are_connected(fleet):
     fleet.connect(fleet.all[:2], fleet.all[2:])
     fleet.end(0, "a", DEADLY)
     fleet.end(0, "b", DEADLY)
@@ -135,20 +135,20 @@
     assert fleet.admits() == [False] * 4
 
 
-def test_halves_that_stay_apart_learn_of_each_other_through_the_store(fleet):
+def test_partitions_share_evidence_through_the_store(fleet):
     fleet.connect(fleet.all[:2], fleet.all[2:])
     fleet.end(0, "a", DEADLY)
     fleet.end(0, "b", DEADLY)
     fleet.end(2, "c", DEADLY)
     for instance in fleet.all:
-        instance.quarantine.merge_stored_cases(instance.archive.read().unwrap())
+        instance.quarantine.merge_stored_cases(instance.case_store.read().unwrap())
     assert fleet.admits()[2:] == [False, False]
 
 
-def test_an_instance_that_was_away_learns_by_the_checksums(fleet):
+def test_instance_that_was_cut_off_is_updated_by_comparing_checksums(fleet):
     asleep = fleet.all[3]
     fleet.connect(fleet.all[:3])
-    asleep.hears = []
+    asleep.reachable = []
     for target in "abc":
         fleet.end(0, target, DEADLY)
     assert asleep.admits(DEADLY)
@@ -156,28 +156,28 @@
     assert not asleep.admits(DEADLY)
 
 
-def test_it_outlasts_a_kill_of_all(fleet):
+def test_quarantine_survives_a_kill_of_all_instances(fleet):
     for target in "abc":
         fleet.end(0, target, DEADLY)
     fleet.start(4)
     for instance in fleet.all:
-        instance.quarantine.merge_stored_cases(instance.archive.read().unwrap())
+        instance.quarantine.merge_stored_cases(instance.case_store.read().unwrap())
     assert fleet.admits() == [False] * 4
 
 
-def test_in_a_day_one_run_of_it_is_let_through_at_most_three_times(fleet):
+def test_three_trials_are_admitted_within_a_day(fleet):
     for target in "abc":
         fleet.end(0, target, DEADLY)
-    let_through = 0
+    admitted = 0
     for second in range(86_400):
         fleet.clock[0] += 1.0
         if fleet.all[second % 4].admits(DEADLY):
-            let_through += 1
+            admitted += 1
             fleet.end(second % 4, f"later-{second}", DEADLY)
-    assert let_through == 3
+    assert admitted == 3
 
 
-def test_a_wrong_blame_ends_with_the_first_trial(fleet):
+def test_wrongly_blamed_request_is_cleared_by_the_first_trial(fleet):
     for target in "abc":
         fleet.end(0, target, POPULAR)
     fleet.clock[0] += 60.0
@@ -186,7 +186,7 @@
     assert fleet.admits(POPULAR) == [True] * 4
 
 
-def test_without_the_store_no_run_is_let_through(fleet):
+def test_no_trial_is_admitted_while_the_store_is_down(fleet):
     for target in "abc":
         fleet.end(0, target, DEADLY)
     fleet.store.down = True
@@ -196,7 +196,7 @@
     assert sum(fleet.admits()) == 1
 
 
-def test_while_the_store_is_away_nobody_waits_for_it(fleet):
+def test_store_that_is_known_to_be_down_is_not_called(fleet):
     for target in "abc":
         fleet.end(0, target, DEADLY)
     fleet.clock[0] += 60.0
@@ -207,7 +207,7 @@
     assert fleet.store.calls == calls
 
 
-def test_a_trial_that_may_have_been_taken_is_not_taken_again(fleet):
+def test_trial_with_a_lost_reply_of_its_claim_is_not_admitted(fleet):
     for target in "abc":
         fleet.end(0, target, DEADLY)
     fleet.clock[0] += 60.0
@@ -215,7 +215,7 @@
     assert fleet.admits() == [False] * 4
 
 
-def test_an_operator_lifts_it_everywhere(fleet):
+def test_operator_lifts_the_quarantine_on_all_instances(fleet):
     for target in "abc":
         fleet.end(0, target, DEADLY)
     assert [case.fingerprint for case in fleet.all[1].quarantine.quarantined_cases()] == ["deadly"]
--- a/whinrack/quarantine/tests/test_table.py
+++ b/whinrack/quarantine/tests/test_table.py
@@ -11,7 +11,7 @@
         table.record_end(Case(fingerprint=fingerprint, workspace=workspace), TargetEnd(end), at)
 
 
-def test_a_caller_that_varies_its_requests_displaces_its_own():
+def test_workspace_with_many_cases_evicts_only_its_own():
     table = CaseTable()
     record(table, "rare", "a", workspace="victim")
     for number in range(_MANY):
@@ -20,16 +20,18 @@
     assert table.get("f0", "flood") is None
 
 
-def test_many_callers_displace_the_one_with_most():
+def test_full_table_evicts_from_the_workspace_with_the_most_cases():
     table = CaseTable()
     record(table, "rare", "a", workspace="victim")
     for number in range(_MANY):
         record(table, f"f{number}", "a", workspace=f"flood{number % 10}")
     assert table.get("rare", "victim") is not None
-    assert sum(len(own) for own in table._single_end_cases.values()) == table._single_count <= 4096
+    assert (
+        sum(len(cases) for cases in table._single_end_cases.values()) == table._single_count <= 4096
+    )
 
 
-def test_a_suspect_is_never_displaced_by_chance_ends():
+def test_suspects_are_not_evicted_by_single_ends():
     table = CaseTable()
     record(table, "culprit", "abc")
     for number in range(_MANY):
@@ -37,7 +39,7 @@
     assert table.blamed_fingerprints() == {"culprit"}
 
 
-def test_of_too_many_suspects_those_with_most_ends_stay():
+def test_suspects_with_the_most_ends_are_kept():
     table = CaseTable()
     record(table, "culprit", "abc")
     for number in range(2 * MAX_SUSPECTS):
@@ -46,7 +48,7 @@
     assert table.blamed_fingerprints() == {"culprit"}
 
 
-def test_a_single_end_is_forgotten_after_ten_minutes_a_suspect_after_a_week():
+def test_single_end_expires_after_ten_minutes_and_suspect_after_a_week():
     table = CaseTable()
     record(table, "single", "a", at=0.0)
     record(table, "suspect", "ab", at=0.0)
@@ -59,23 +61,23 @@
     assert table.suspect_cases() == []
 
 
-def test_equal_knowledge_has_equal_checksums_whatever_its_order():
-    one, two = CaseTable(), CaseTable()
-    record(one, "f", "ab")
-    record(one, "g", "cd")
-    record(two, "g", "dc")
-    assert one.checksum() != two.checksum()
-    record(two, "f", "ba")
-    assert one.checksum() == two.checksum() != 0
+def test_checksum_does_not_depend_on_the_order_of_updates():
+    first, second = CaseTable(), CaseTable()
+    record(first, "f", "ab")
+    record(first, "g", "cd")
+    record(second, "g", "dc")
+    assert first.checksum() != second.checksum()
+    record(second, "f", "ba")
+    assert first.checksum() == second.checksum() != 0
 
 
-def test_single_ends_are_not_compared():
+def test_single_ends_do_not_change_the_checksum():
     table = CaseTable()
     record(table, "f", "a")
     assert table.checksum() == CaseTable().checksum() == 0
 
 
-def test_a_success_is_remembered_for_a_minute():
+def test_success_is_remembered_for_a_minute():
     table = CaseTable()
     table.record_success("f", 10.0)
     assert table.has_recent_success("f", 70.0)
--- a/whinrack/store/_era.py
+++ b/whinrack/store/_era.py
@@ -70,8 +70,8 @@
         if era > self.current or not self._is_named:
             change = EraChange(self.current if self._is_named else None, era)
             self.current, self._is_named = era, True
-            for tell in self.listeners:
-                tell(change)
+            for listener in self.listeners:
+                listener(change)
 
 
 def _parse(text: str) -> int | None:
--- a/whinrack/store/_http.py
+++ b/whinrack/store/_http.py
@@ -145,10 +145,10 @@
 
     def _back_off(self, result: Result) -> None:
         """While the platform is away, fail at once and try more and more rarely."""
-        away = isinstance(result, Failure) and isinstance(
+        is_unavailable = isinstance(result, Failure) and isinstance(
             result.failure(), PlatformUnavailable | WriteUnknown
         )
-        if not away:
+        if not is_unavailable:
             self._backoff_seconds = 0.0
             return
         self._retry_at = self.clock() + self._backoff_seconds
--- a/whinrack/store/_object_editor.py
+++ b/whinrack/store/_object_editor.py
@@ -85,19 +85,19 @@
         The version seen last is tried first, so an undisturbed change costs one call.
         A `WriteUnknown` failure means that the effect could not be found out.
         """
-        doubt: PlatformFailure | None = None
+        unknown_write: PlatformFailure | None = None
         for attempt in range(self.attempts):
-            copied = name in self._known
+            is_cached = name in self._known
             before = self._load(name)
             if isinstance(before, Failure):
-                if doubt is not None:
-                    return Failure(doubt)
+                if unknown_write is not None:
+                    return Failure(unknown_write)
                 return before
             stored = before.unwrap()
             old = None if stored is None else self._decoder.decode(stored.value)
             new = change(old)
-            if new is None and copied:
-                # A copy may be too old to conclude from that nothing is left to do.
+            if new is None and is_cached:
+                # The cached value may be too old to conclude that nothing is left to do.
                 self._known.pop(name, None)
                 continue
             if new is None:
@@ -113,12 +113,15 @@
                 self._known.pop(name, None)
                 continue
             if not isinstance(failure, Conflict | WriteUnknown):
-                return Failure(doubt or failure)
-            doubt = self._handle_write_failure(name, failure, doubt)
+                return Failure(unknown_write or failure)
+            unknown_write = self._handle_write_failure(name, failure, unknown_write)
             self._back_off(attempt)
-        return Failure(doubt or PlatformUnavailable(f"{self.kind}/{name}: too many conflicts"))
+        return Failure(
+            unknown_write or PlatformUnavailable(f"{self.kind}/{name}: too many conflicts")
+        )
 
-    def _handle_write_failure(self, name, failure, doubt):
+    def _handle_write_failure(self, name, failure, unknown_write):
+        """Update the cache after a failed write; return the last write of unknown outcome."""
         if isinstance(failure, WriteUnknown):
             self._known.pop(name, None)
             return failure
@@ -126,7 +129,7 @@
             self._known.pop(name, None)
         else:
             self._cache_object(name, failure.current)
-        return doubt
+        return unknown_write
 
     def _load(self, name: str) -> Result[StoredObject | None, PlatformFailure]:
         known = self._known.get(name)
--- a/whinrack/store/_unknown_fields.py
+++ b/whinrack/store/_unknown_fields.py
@@ -26,5 +26,5 @@
             if name in self._names or len(self._names) >= _MAX_FIELDS:
                 continue
             self._names.add(name)
-            for tell in self.listeners:
-                tell(name)
+            for listener in self.listeners:
+                listener(name)
--- a/whinrack/store/tests/test_adaptive_timeout.py
+++ b/whinrack/store/tests/test_adaptive_timeout.py
@@ -18,18 +18,18 @@
     return timeout
 
 
-def test_the_wait_is_short_while_answers_are_quick():
+def test_timeout_is_minimal_while_answers_are_fast():
     assert AdaptiveTimeout().seconds == taught(_QUICK).seconds == 0.5
 
 
-def test_a_store_that_turns_slow_is_waited_for():
+def test_timeout_covers_a_store_that_becomes_slow():
     timeout = taught(_QUICK)
     for _ in range(50):
         assert timeout.seconds > _SLOW
         timeout.record_response(_SLOW)
 
 
-def test_a_store_slower_than_the_wait_is_reached_by_the_next_call_and_all_later_ones():
+def test_timeout_covers_a_slower_store_after_the_first_lost_answer():
     timeout = taught(_QUICK)
     assert timeout.seconds < _SLOWER
     timeout.record_timeout()
@@ -38,7 +38,7 @@
         timeout.record_response(_SLOWER)
 
 
-def test_the_wait_is_short_again_after_a_silence():
+def test_timeout_returns_to_the_minimum_after_an_outage():
     timeout = taught(_QUICK)
     for _ in range(5000):
         timeout.record_timeout()
@@ -47,7 +47,7 @@
     assert timeout.seconds == pytest.approx(0.5)
 
 
-def test_an_answer_that_was_held_for_an_unknown_time_ends_the_longer_wait_only():
+def test_answer_of_unknown_response_time_only_ends_the_backoff():
     timeout = taught(_SLOWER)
     usual = timeout.seconds
     timeout.record_timeout()
--- a/whinrack/store/tests/test_connections.py
+++ b/whinrack/store/tests/test_connections.py
@@ -68,7 +68,7 @@
     return kept
 
 
-def test_one_lost_reply_makes_the_next_call_open_a_new_connection(server, connections):
+def test_next_call_after_a_lost_reply_opens_a_new_connection(server, connections):
     assert isinstance(connections.call("GET", "/", _TIMEOUT), Success)
     server.silence_open()
     lost = connections.call("GET", "/", _TIMEOUT)
@@ -77,30 +77,30 @@
     assert isinstance(connections.call("GET", "/", _TIMEOUT), Success)
 
 
-def test_calls_at_the_same_time_after_a_lost_reply_are_all_answered(server, connections):
+def test_concurrent_calls_after_a_lost_reply_are_all_answered(server, connections):
     server.silence_open()
     connections.call("GET", "/", _TIMEOUT)
-    found = []
-    threads = [threading.Thread(target=_note, args=(connections, found)) for _ in range(_KEPT)]
+    results = []
+    threads = [threading.Thread(target=_call, args=(connections, results)) for _ in range(_KEPT)]
     for thread in threads:
         thread.start()
     for thread in threads:
         thread.join()
-    assert [type(result) for result in found] == [Success] * _KEPT
+    assert [type(result) for result in results] == [Success] * _KEPT
 
 
-def test_a_lost_write_may_have_been_done(server, connections):
+def test_write_with_a_lost_reply_has_an_unknown_outcome(server, connections):
     connections.call("GET", "/", _TIMEOUT)
     server.silence_open()
     failure = connections.call("PUT", "/", _TIMEOUT, b"{}").failure()
     assert isinstance(failure, WriteUnknown)
 
 
-def test_connections_are_probed_by_the_kernel(server, connections):
+def test_connections_use_tcp_keepalive(server, connections):
     connection = connections._pool._get_conn()
     for level, option, value in KEEPALIVE_OPTIONS:
         assert connection.sock.getsockopt(level, option) == value
 
 
-def _note(connections, found):
-    found.append(connections.call("GET", "/", _TIMEOUT))
+def _call(connections, results):
+    results.append(connections.call("GET", "/", _TIMEOUT))
--- a/whinrack/store/tests/test_store.py
+++ b/whinrack/store/tests/test_store.py
@@ -14,7 +14,7 @@
     marks: dict[str, int] = {}
 
 
-def test_calls_and_bytes_are_counted_by_what_they_are_about():
+def test_calls_and_bytes_are_counted_by_operation_and_kind():
     counted = []
     store = MeteredStore(MemoryStore(), lambda *call: counted.append(call))
     store.put("k", "a", b'"12345"', 0)
@@ -44,20 +44,20 @@
     return change
 
 
-def test_a_change_whose_reply_is_lost_takes_effect_once():
+def test_change_with_a_lost_reply_is_applied_once():
     store = MemoryStore()
     store.lose_replies = 1
     assert editor(store).apply("m", add("one")).unwrap().marks == {"one": 1}
     assert store.revision == 1
 
 
-def test_a_change_that_is_lost_on_the_way_is_made_again():
+def test_change_with_a_lost_request_is_repeated():
     store = MemoryStore()
     store.lose_writes = 2
     assert editor(store).apply("m", add("one")).unwrap().marks == {"one": 1}
 
 
-def test_an_outage_after_a_lost_reply_is_unknown_and_not_a_refusal():
+def test_outage_after_a_lost_reply_has_an_unknown_outcome():
     store = MemoryStore()
 
     def go_down():
@@ -69,7 +69,7 @@
     assert isinstance(result.failure(), WriteUnknown)
 
 
-def test_racing_editors_keep_both_changes():
+def test_concurrent_changes_are_both_applied():
     store = MemoryStore()
     first, second = editor(store), editor(store)
     store.before_write = lambda: second.apply("m", add("two"))
@@ -77,8 +77,8 @@
     assert set(first.read("m").unwrap().marks) == {"one", "two"}
 
 
-def test_nothing_to_do_is_not_concluded_from_a_stale_copy():
-    """Found by the release of a grant: the copy did not have the holder's row yet."""
+def test_stale_cached_value_does_not_make_a_change_a_no_op():
+    """The release of a grant was skipped because the cached value lacked the holder's row."""
     store = MemoryStore()
     first, second = editor(store), editor(store)
     first.apply("m", add("one"))
@@ -94,21 +94,21 @@
     assert set(second.read("m").unwrap().marks) == {"one"}
 
 
-def test_an_undisturbed_change_costs_one_call():
+def test_change_without_a_conflict_costs_one_call():
     store = MemoryStore()
-    one = editor(store)
-    one.apply("m", add("one"))
+    marks_editor = editor(store)
+    marks_editor.apply("m", add("one"))
     before = store.calls
-    one.apply("m", add("two"))
+    marks_editor.apply("m", add("two"))
     assert store.calls == before + 1
 
 
-def test_a_platform_that_is_away_is_told_apart_from_a_lost_write():
+def test_refused_connection_is_not_a_lost_write():
     store = HttpObjectStore("127.0.0.1:1", timeout=0.2)
     assert isinstance(store.put("K", "n", b"{}", 0).failure(), PlatformUnavailable)
 
 
-def test_while_the_platform_is_away_most_calls_fail_at_once():
+def test_most_calls_fail_at_once_while_the_platform_is_down():
     now = [0.0]
     sent = []
     store = HttpObjectStore(
@@ -125,7 +125,7 @@
     assert max(b - a for a, b in zip(sent, sent[1:], strict=False)) < 1.1
 
 
-def test_calls_beyond_the_rate_wait_and_then_fail():
+def test_calls_above_the_rate_are_delayed_and_then_fail():
     waits = []
     now = [0.0]
 
@@ -141,13 +141,13 @@
     assert isinstance(results[-1].failure(), RateExceeded)
 
 
-def test_token_bucket_saves_up_to_its_burst():
+def test_token_bucket_accumulates_up_to_its_burst():
     bucket = TokenBucket(rate=1.0, burst=2.0)
     assert [bucket.try_acquire(0.0) for _ in range(3)] == [True, True, False]
     assert [bucket.try_acquire(100.0) for _ in range(3)] == [True, True, False]
 
 
-def test_memory_store_agrees_with_the_interface():
+def test_memory_store_writes_conditionally():
     store = MemoryStore()
     assert isinstance(store.put("K", "n", b"1", 0), Success)
     assert isinstance(store.put("K", "n", b"2", 0), Failure)
