--- a/whinrack/quarantine/__init__.py
+++ b/whinrack/quarantine/__init__.py
@@ -1,4 +1,4 @@
-"""Requests that end the targets which run them, and how they are kept away from further ones."""
+"""Quarantine of requests that end the targets on which they run."""
 
 from whinrack.quarantine._case_store import CaseStore
 from whinrack.quarantine._cases import Case, TargetEnd
--- a/whinrack/quarantine/_attribution.py
+++ b/whinrack/quarantine/_attribution.py
@@ -1,8 +1,9 @@
-"""Which requests are to blame for the ends of targets. Decisions only, no I/O.
+"""Attribution of the ends of targets to requests; it does no I/O.
 
-All requests that a target runs when it ends are cut, and only one of them is to blame. As few
-requests as can explain the ends are blamed: the one that was there at most ends, then the one at
-most of those that are left. Neighbours of a blamed request, whose ends it explains, go free.
+The end of a target interrupts all requests that it runs, of which only one is the cause. The
+smallest number of requests that explains the ends is blamed, by a greedy set cover: first the
+request that was present at the most ends, then the one at the most of the unexplained ends, and
+so on. Requests whose ends are explained by a blamed one are not blamed.
 """
 
 from collections.abc import Iterable
@@ -11,15 +12,17 @@
 
 __all__ = ["BLAME_THRESHOLD", "find_culprits"]
 
-# Ends under one request from which on it is kept out: the users' bound counts from the third.
+# Ends of targets after which a request is quarantined; the users' requirement counts from the
+# third end.
 BLAME_THRESHOLD = 3
 
 
 def find_culprits(cases: Iterable[Case]) -> frozenset[str]:
     """Return the fingerprints of the requests that are to blame.
 
-    Those that were at the same number of ends are equally suspicious and blamed together: a
-    wrong blame ends with the next run that is let through, a target's end harms all on it.
+    Requests with the same number of unexplained ends are blamed together: a wrongly blamed
+    request is cleared by its next trial run, while the end of a target interrupts all requests on
+    it.
     """
     unexplained = {case.fingerprint: set(case.ends) for case in cases}
     found: set[str] = set()
--- a/whinrack/quarantine/_case_store.py
+++ b/whinrack/quarantine/_case_store.py
@@ -1,4 +1,4 @@
-"""Keeps the suspects in the platform's store, so that they outlast a kill of all instances."""
+"""Storage of suspect cases in the platform's store, which survives a kill of all instances."""
 
 from collections.abc import Callable, Iterable
 
@@ -16,24 +16,26 @@
 
 _KIND = "Quarantine"
 _NAME = "main"
-# Tries of one write; what fails is tried again with the next change.
+# Attempts of one write; after a failure the next change tries again.
 _WRITE_ATTEMPTS = 4
 
 
 class StoredCases(msgspec.Struct, frozen=True):
-    """The object's value: suspects, those with most ends first."""
+    """Value of the stored object: suspect cases, those with the most ends first."""
 
     cases: tuple[Case, ...] = ()
 
 
 class CaseStore:
-    """One object with all suspects; it is written only when a second target ends, or a later one.
+    """Reads and writes the object that holds all suspect cases.
+
+    It is written only after the second or a later end of a target under the same request.
 
     Parameters
     ----------
     store : ObjectStore
     wall_clock : callable
-        Returns the Unix time, seconds.
+        Returns the Unix time in seconds.
     """
 
     def __init__(self, store: ObjectStore, wall_clock: Callable[[], float]):
@@ -48,16 +50,27 @@
         return result
 
     def write(self, cases: Iterable[Case]) -> Result[tuple[Case, ...], PlatformFailure]:
-        """Merge cases into the stored ones; returns what is stored then."""
+        """Merge cases into the stored ones.
+
+        Returns
+        -------
+        Result of tuple of Case
+            The cases that are stored after the write.
+        """
         new_cases = tuple(cases)
         result = self._editor.apply(_NAME, lambda old: self._merge_into(old, new_cases))
         return result.map(_decode_cases)
 
     def claim_trial(self, case: Case) -> Result[bool, PlatformFailure]:
-        """Take the next trial of a request for this instance; False if it isn't due.
+        """Claim the next trial run of a quarantined request for this instance.
+
+        Only one instance can claim it, because the write is conditional on the version that was
+        read. A trial whose write got no reply counts as claimed by another instance.
 
-        Only one instance gets it: the write is conditional on what was read. A trial whose write
-        has no answer counts as taken.
+        Returns
+        -------
+        Result of bool
+            False if no trial is due, or another instance has claimed it.
         """
         claimed = False
 
@@ -72,7 +85,7 @@
         return self._editor.apply(_NAME, take).map(lambda _: claimed)
 
     def _merge_into(self, old: msgspec.Raw | None, cases: tuple[Case, ...]) -> msgspec.Raw | None:
-        """Return the stored cases with others, None if these change nothing."""
+        """Return the stored value with cases merged into it, or None if they change nothing."""
         joined = _decode_by_fingerprint(old)
         for case in cases:
             known = joined.get(case.fingerprint)
@@ -86,7 +99,7 @@
 
 
 def _decode_cases(stored: msgspec.Raw | None) -> tuple[Case, ...]:
-    """Read an object's value; one that others spoilt counts as empty, and is written anew."""
+    """Decode a stored value; an invalid one counts as empty and is overwritten."""
     if stored is None:
         return ()
     try:
--- a/whinrack/quarantine/_cases.py
+++ b/whinrack/quarantine/_cases.py
@@ -1,22 +1,23 @@
-"""What is known of one request under which targets ended."""
+"""Evidence against requests during whose runs targets ended."""
 
 import msgspec
 
 __all__ = ["Case", "TargetEnd", "merge_evidence"]
 
-# Ends that a case holds; a request that has some is sent to no target, so there are few more.
+# Maximum number of ends in a case. A quarantined request is not sent to targets, so that few ends
+# follow.
 _MAX_ENDS = 16
 
 
 class TargetEnd(msgspec.Struct, frozen=True, array_like=True, order=True):
-    """The end of one start of a target, however many instances saw it.
+    """End of one run of a target; the same for all instances that observed it.
 
     Attributes
     ----------
     target : str
-        Its name.
+        Name of the target.
     started : int
-        Unix time of that start, milliseconds; 0 if it isn't known.
+        Unix time at which that run started, milliseconds; 0 if unknown.
     """
 
     target: str
@@ -24,24 +25,24 @@
 
 
 class Case(msgspec.Struct, frozen=True, array_like=True, kw_only=True):
-    """The evidence against all requests with one fingerprint.
+    """Evidence against all requests with one fingerprint.
 
-    Two instances' evidence can be put together in any order and any number of times.
+    Merging the evidence of instances is commutative, associative and idempotent.
 
     Attributes
     ----------
     fingerprint, workspace, route : str
-        The request, whose it is, and the route that it came on.
+        The request, its workspace, and the route on which it came.
     epoch : int
-        Grows by one whenever the request is cleared; what was known in an earlier one is void.
+        Incremented whenever the request is cleared; evidence of earlier epochs is void.
     ends : tuple of TargetEnd
-        Targets that ended while they had the request, in order.
+        Targets that ended while they ran the request, in order.
     ended_at : float
-        Unix time of the last of them, seconds.
+        Unix time of the last end, seconds.
     trials : int
-        Runs that were let through although the request was kept out.
+        Trial runs that were admitted while the request was in quarantine.
     tried_at : float
-        Unix time of the last of them, seconds.
+        Unix time of the last trial run, seconds.
     """
 
     fingerprint: str
@@ -54,28 +55,28 @@
     tried_at: float = 0.0
 
     def target_names(self) -> tuple[str, ...]:
-        """Return the targets that ended, as name@start."""
+        """Return the targets that ended, as `name@started`."""
         return tuple(f"{end.target}@{end.started}" for end in self.ends)
 
     def with_end(self, end: TargetEnd, at: float) -> "Case":
-        """Return the case with one more end; the same end once more changes nothing."""
+        """Return the case with an end added; unchanged if it has this end already."""
         if end in self.ends:
             return self
         ends = _sorted_and_limited({*self.ends, end})
         return msgspec.structs.replace(self, ends=ends, ended_at=max(at, self.ended_at))
 
     def cleared(self) -> "Case":
-        """Return the case without its evidence."""
+        """Return the case without evidence, in the next epoch."""
         empty = Case(fingerprint=self.fingerprint, workspace=self.workspace, route=self.route)
         return msgspec.structs.replace(empty, epoch=self.epoch + 1, ended_at=self.ended_at)
 
     def with_trial(self, at: float) -> "Case":
-        """Return the case after one more trial."""
+        """Return the case with one more trial run."""
         return msgspec.structs.replace(self, trials=self.trials + 1, tried_at=at)
 
 
 def merge_evidence(first: Case, second: Case) -> Case:
-    """Return what two instances know together of the same request."""
+    """Return the merged evidence of two instances against the same request."""
     if first.epoch != second.epoch:
         return max(first, second, key=lambda case: case.epoch)
     return msgspec.structs.replace(
--- a/whinrack/quarantine/_fingerprint.py
+++ b/whinrack/quarantine/_fingerprint.py
@@ -1,19 +1,19 @@
-"""A name for a request that is the same each time it comes."""
+"""Fingerprints of requests, equal for repetitions of a request."""
 
 import hashlib
 
 __all__ = ["compute_fingerprint"]
 
-# 64 bits: among 10^6 requests two share a name by chance once in 4 x 10^7 fleets.
+# 64 bits: the probability that any two of 10^6 requests collide is 1 in 4 x 10^7.
 _BYTES = 8
-# Keeps the names apart from hashes of the same bytes that others may publish.
+# Makes fingerprints differ from plain hashes of the same bytes that may be published elsewhere.
 _KEY = b"whinrack request"
 
 
 def compute_fingerprint(host: str, target: bytes, workspace: str, body: bytes) -> str:
-    """Return the name of all requests with the same path, caller and body, as 16 hex digits.
+    """Return the fingerprint of requests with the same path, caller and body, as 16 hex digits.
 
-    The id of a request is left out: a caller that comes again has a new one each time.
+    The request id is not included, because a caller that repeats a request uses a new one.
 
     Parameters
     ----------
@@ -21,7 +21,7 @@
     target : bytes
         Path and query.
     workspace : str
-        The caller, empty on public routes.
+        Workspace of the caller, empty on public routes.
     body : bytes
 
     Examples
@@ -32,7 +32,7 @@
     """
     digest = hashlib.blake2b(digest_size=_BYTES, key=_KEY)
     for part in (host.encode(), target, workspace.encode(), body):
-        # With its length, so that no two lists of parts give the same bytes.
+        # The length prefix prevents different lists of parts from giving the same bytes.
         digest.update(len(part).to_bytes(8, "big"))
         digest.update(part)
     return digest.hexdigest()
--- a/whinrack/quarantine/_listing.py
+++ b/whinrack/quarantine/_listing.py
@@ -1,4 +1,4 @@
-"""Requests that are kept out, as operators see them."""
+"""Quarantined requests as they are shown to operators."""
 
 import msgspec
 
@@ -8,16 +8,18 @@
 
 
 class QuarantinedRequest(msgspec.Struct, frozen=True):
-    """A request that goes to no target.
+    """A request in quarantine.
 
     Attributes
     ----------
+    fingerprint, workspace, route : str
+        The request, its workspace, and the route on which it came.
     targets : tuple of str
-        Those that ended under it, as name@start.
+        Targets that ended while they ran the request, as `name@started`.
     ended_at : float
         Unix time of the last end, seconds.
     trials : int
-        Runs that were let through since.
+        Trial runs that have been admitted since.
     """
 
     fingerprint: str
@@ -29,7 +31,7 @@
 
 
 def describe_case(case: Case) -> QuarantinedRequest:
-    """Return a case as operators see it."""
+    """Return a case in the form that operators see."""
     return QuarantinedRequest(
         fingerprint=case.fingerprint,
         workspace=case.workspace,
--- a/whinrack/quarantine/_quarantine.py
+++ b/whinrack/quarantine/_quarantine.py
@@ -1,8 +1,9 @@
-"""Keeps requests that end targets away from them, in the whole fleet.
+"""Fleet-wide quarantine of requests that end targets.
 
-Each end of a target is told to the three instances that a request's fingerprint falls to; from
-the second end on to all. Heartbeats carry a checksum of what all should know, so that an instance
-that was away, asleep or cut off is told within one of them. What all know is kept in the store.
+The first end of a target under a request is sent to the three instances that own the request's
+fingerprint, later ones to all instances. Heartbeats carry a checksum of the cases that all
+instances should have, so that an instance that was down, suspended or cut off gets them after one
+heartbeat. These cases are also kept in the store.
 """
 
 from collections.abc import Callable, Iterable
@@ -22,43 +23,44 @@
 
 _OWN_SOURCE = "here"
 _STORE_SOURCE = "store"
-# Told to callers whose request gets no trial any more: an operator has to lift it, seconds.
+# Seconds after which callers may retry once no trial is left and an operator has to lift the
+# quarantine.
 _NO_TRIAL_RETRY_SECONDS = 3600.0
-# Least time that a caller is told to stay away, seconds.
+# Minimum of the time after which callers may retry, seconds.
 _MIN_RETRY_SECONDS = 1.0
 
 
 class QuarantineHost:
-    """How the quarantine reaches the peers."""
+    """Connection of the quarantine to peers and the store."""
 
     def send_to_owners(self, case: Case) -> None:
-        """Tell the instances that a fingerprint falls to."""
+        """Send a case to the instances that own its fingerprint."""
         raise NotImplementedError
 
     def send_to_all(self, cases: list[Case]) -> None:
-        """Tell all instances."""
+        """Send cases to all instances."""
         raise NotImplementedError
 
     def reaches_store(self) -> bool:
-        """Whether the store answers calls from here."""
+        """Return whether the store answers calls of this instance."""
         raise NotImplementedError
 
     def schedule_save(self) -> None:
-        """Have the suspects written to the store soon."""
+        """Schedule a write of the suspect cases to the store."""
         raise NotImplementedError
 
 
 class Quarantine(RunGuard):
-    """What this instance knows of requests under which targets ended, and what follows from it.
+    """Quarantine of one instance, with its knowledge of requests during whose runs targets ended.
 
     Parameters
     ----------
     case_store : CaseArchive
     host : QuarantineHost
     wall_clock : callable
-        Returns the Unix time, seconds.
+        Returns the Unix time in seconds.
     steady : callable, optional
-        Returns the steady clock, seconds.
+        Returns the steady clock in seconds.
     """
 
     def __init__(
@@ -75,10 +77,16 @@
         self.table = CaseTable()
         self._quarantined: frozenset[str] = frozenset()
 
-    # --- what the pipeline asks and tells -------------------------------------------
+    # --- request pipeline -----------------------------------------------------------
 
     def admit(self, request: RequestSignature) -> None:
-        """Let a request go to a target, or refuse it at once."""
+        """Check that a request may run on a target.
+
+        Raises
+        ------
+        RequestQuarantined
+            If the request is in quarantine and no trial run of it is due here.
+        """
         if request.fingerprint not in self.table.blamed_fingerprints():
             return
         case = self.table.get(request.fingerprint)
@@ -86,20 +94,28 @@
         if wait == 0.0 and self._try_claim_trial(case):
             return
         raise RequestQuarantined(
-            f"{len(case.ends)} targets ended under requests with fingerprint {case.fingerprint}",
+            f"{len(case.ends)} targets ended while running requests with fingerprint "
+            f"{case.fingerprint}",
             retry_after=_NO_TRIAL_RETRY_SECONDS if wait is None else wait + _MIN_RETRY_SECONDS,
         )
 
     def _try_claim_trial(self, case: Case) -> bool:
-        """Whether this instance may let one run through; all others learn that it did."""
+        """Try to claim the next trial run, and announce it to all instances.
+
+        Returns
+        -------
+        bool
+            Whether this instance has claimed the trial.
+        """
         if not self.host.reaches_store():
-            # Its caller would wait for the store in vain.
+            # The caller would only wait for a call to the store that fails.
             return False
         claimed = self.case_store.claim_trial(case)
         if isinstance(claimed, Failure) and not isinstance(claimed.failure(), WriteUnknown):
             return False
         taken = isinstance(claimed, Success) and claimed.unwrap()
-        # Another instance has it, or a write without an answer may have been done.
+        # Recorded in any case: another instance has claimed the trial, or a write without a reply
+        # may have been applied.
         self.table.merge(case.with_trial(self.wall_clock()))
         self.host.send_to_all([self.table.get(case.fingerprint)])
         log_event(
@@ -111,12 +127,12 @@
         return taken
 
     def record_success(self, request: RequestSignature) -> None:
-        """Clear a request: it doesn't end each target that runs it."""
+        """Clear a request that ran successfully, as it does not end every target that runs it."""
         self.table.record_success(request.fingerprint, self.steady())
-        self._clear(request.fingerprint, request.workspace, "ended well")
+        self._clear(request.fingerprint, request.workspace, "run succeeded")
 
     def record_target_end(self, end: TargetEnd, runs: list[RequestSignature]) -> None:
-        """Take in a target's end as evidence against those that it cut."""
+        """Record the end of a target as evidence against the requests that it interrupted."""
         now = self.wall_clock()
         for request in runs:
             if self._has_recent_success(request.fingerprint):
@@ -133,10 +149,10 @@
                 self._announce(case, _OWN_SOURCE)
         self._log_changes()
 
-    # --- what operators ask -----------------------------------------------------------
+    # --- operators --------------------------------------------------------------------
 
     def quarantined_cases(self) -> list[Case]:
-        """Return the cases of requests that go to no target."""
+        """Return the cases of the requests in quarantine."""
         return [
             case
             for case in self.table.suspect_cases()
@@ -144,24 +160,30 @@
         ]
 
     def lift(self, fingerprint: str) -> bool:
-        """Clear a request by an operator's word; False if nothing is known of it."""
+        """Clear a request on behalf of an operator; return False if there is no evidence."""
         return self._clear(fingerprint, "", "operator")
 
-    # --- what peers and the store tell ------------------------------------------------
+    # --- peers and the store ----------------------------------------------------------
 
     def merge_cases(self, cases: Iterable[Case], source: str) -> list[Case]:
-        """Take in what a peer or the store knows; returns what it lacks."""
+        """Merge cases from a peer or the store.
+
+        Returns
+        -------
+        list of Case
+            Cases that the source does not have or has with less evidence.
+        """
         missing_at_source = []
         for reported in cases:
             before = self.table.get(reported.fingerprint, reported.workspace)
             known = self.table.merge(reported)
             if len(known.ends) >= SUSPECT_THRESHOLD and self._has_recent_success(known.fingerprint):
-                self._clear(known.fingerprint, known.workspace, "ended well lately")
+                self._clear(known.fingerprint, known.workspace, "run succeeded recently")
                 continue
             if len(known.ends) < SUSPECT_THRESHOLD and not known.epoch:
                 continue
             if known not in (reported, before):
-                # Neither side knew all of it.
+                # Each side had evidence that the other one lacked.
                 self._announce(known, source)
             elif known != reported:
                 missing_at_source.append(known)
@@ -169,7 +191,7 @@
         return missing_at_source
 
     def merge_stored_cases(self, cases: Iterable[Case]) -> None:
-        """Take in what the store holds; peers that lack some ask by their checksums."""
+        """Merge the stored cases; peers that lack some notice it by the checksum."""
         stored = list(cases)
         self.merge_cases(stored, _STORE_SOURCE)
         log_event(
@@ -177,11 +199,11 @@
         )
 
     def remove_expired(self) -> None:
-        """Drop what is too old to count."""
+        """Remove expired cases."""
         self.table.remove_expired(self.wall_clock())
         self._log_changes()
 
-    # --- consequences -----------------------------------------------------------------
+    # --- clearing, announcing and logging ---------------------------------------------
 
     def _has_recent_success(self, fingerprint: str) -> bool:
         return self.table.has_recent_success(fingerprint, self.steady())
@@ -213,7 +235,7 @@
         self.host.schedule_save()
 
     def _log_changes(self) -> None:
-        """Tell which requests are kept out from now on, and which no longer are."""
+        """Log the requests that entered or left the quarantine."""
         blamed = self.table.blamed_fingerprints()
         for fingerprint in blamed - self._quarantined:
             case = self.table.get(fingerprint)
@@ -228,6 +250,6 @@
             log_event(
                 Event.QUARANTINE_ENDED,
                 fingerprint=fingerprint,
-                why="cleared or explained by others",
+                why="cleared, or the ends are explained by other requests",
             )
         self._quarantined = blamed
--- a/whinrack/quarantine/_table.py
+++ b/whinrack/quarantine/_table.py
@@ -1,4 +1,4 @@
-"""All cases that this instance knows, within bounds. Decisions only, no I/O."""
+"""Bounded table of the cases that this instance knows; it does no I/O."""
 
 from collections import OrderedDict
 
@@ -10,28 +10,30 @@
 
 __all__ = ["SUSPECT_LIFETIME_SECONDS", "MAX_SUSPECTS", "SUSPECT_THRESHOLD", "CaseTable"]
 
-# Ends from which on all instances are told of a request.
+# Number of ends from which on a request is suspect and its case is sent to all instances.
 SUSPECT_THRESHOLD = 2
-# Cases with a single end: those that ran on a target that ended, 64 at most an end; about
-# 1 KB each. One caller that varies its requests can take a quarter of the places.
+# Maximum number of cases with a single end. Each end adds a case for every request that the
+# target ran, at most 64, of about 1 KB each. A workspace that varies its requests can take a
+# quarter of the places.
 _MAX_SINGLE_END_CASES = 4096
 _MAX_PER_WORKSPACE = _MAX_SINGLE_END_CASES // 4
-# Cases that all instances know; some 300 bytes each, so they fit into one object of the store.
+# Maximum number of suspect cases; at about 300 bytes each they fit into one object of the store.
 MAX_SUSPECTS = 512
-# A single end is forgotten after so long: a chance one must not wait for the next.
+# Seconds after which a single end expires, so that unrelated ends do not add up.
 _SINGLE_END_LIFETIME_SECONDS = 600.0
-# A request that ended no target for so long is forgotten, as the store's room is bounded.
+# Seconds without a further end after which a suspect case expires, as space in the store is
+# limited.
 SUSPECT_LIFETIME_SECONDS = 7 * 86_400.0
-# A success is remembered for so long, and so many of them.
+# Seconds for which a success is remembered, and the maximum number of remembered ones.
 _SUCCESS_LIFETIME_SECONDS = 60.0
 _MAX_SUCCESSES = 4096
 
 
 class CaseTable:
-    """Cases by fingerprint, and requests that ended well lately."""
+    """Cases by fingerprint, and recent successes of requests."""
 
     def __init__(self):
-        # With one end: by workspace, so that a caller's many cases displace its own.
+        # Cases with one end by workspace, so that a caller with many cases displaces only its own.
         self._single_end_cases: dict[str, OrderedDict[str, Case]] = {}
         self._single_count = 0
         self._suspects: dict[str, Case] = {}
@@ -42,51 +44,52 @@
     # --- reading -----------------------------------------------------------------
 
     def get(self, fingerprint: str, workspace: str = "") -> Case | None:
-        """Return what is known of a request."""
+        """Return the case of a request, or None."""
         known = self._suspects.get(fingerprint)
         if known is None:
             known = self._single_end_cases.get(workspace, {}).get(fingerprint)
         return known
 
     def suspect_cases(self) -> list[Case]:
-        """Return the cases that all instances are told of, cleared ones included."""
+        """Return the cases that are sent to all instances, including cleared ones."""
         return list(self._suspects.values())
 
     def blamed_fingerprints(self) -> frozenset[str]:
-        """Return the fingerprints of requests that are to be kept out."""
+        """Return the fingerprints of the requests to quarantine."""
         if self._blamed is None:
             self._blamed = find_culprits(self._suspects.values())
         return self._blamed
 
     def checksum(self) -> int:
-        """Return a number that two instances with the same suspects share; 0 for none."""
+        """Return a checksum of the suspect cases; 0 if there are none."""
         if not self._checksum and self._suspects:
             states = sorted(msgspec.msgpack.encode(case) for case in self._suspects.values())
             self._checksum = xxhash.xxh32_intdigest(b"".join(states))
         return self._checksum
 
-    # --- learning ----------------------------------------------------------------
+    # --- updates -----------------------------------------------------------------
 
     def record_end(self, case: Case, end: TargetEnd, at: float) -> Case:
-        """Take in that a target ended with a request; returns what is known of it now.
+        """Add the end of a target to the case of a request and return the case.
 
         Parameters
         ----------
         case : Case
-            Names the request; its evidence isn't looked at.
+            Identifies the request; its evidence is ignored if a case is known.
+        end : TargetEnd
         at : float
-            Unix time, seconds.
+            Unix time of the end, seconds.
         """
         known = self.get(case.fingerprint, case.workspace) or case
         return self.put(known.with_end(end, at))
 
     def merge(self, case: Case) -> Case:
-        """Take in what a peer or the store knows; returns what is known now."""
+        """Merge a case from a peer or the store and return the merged case."""
         known = self.get(case.fingerprint, case.workspace)
         return self.put(case if known is None else merge_evidence(known, case))
 
     def put(self, case: Case) -> Case:
-        """Set what is known of a request."""
+        """Replace the case of a request and return it."""
         if case == self.get(case.fingerprint, case.workspace):
             return case
         if len(case.ends) >= SUSPECT_THRESHOLD or case.fingerprint in self._suspects:
@@ -98,25 +101,31 @@
         return case
 
     def clear(self, fingerprint: str, workspace: str = "") -> Case | None:
-        """Drop the evidence against a request; returns its case, None if there was none."""
+        """Clear the evidence against a request; return its case, or None if there was none."""
         known = self.get(fingerprint, workspace)
         if known is None or not known.ends:
             return None
         return self.put(known.cleared())
 
     def record_success(self, fingerprint: str, now: float) -> None:
-        """Remember by the steady clock that a request ended well."""
+        """Remember the success of a request at a time of the steady clock."""
         self._successes[fingerprint] = now
         self._successes.move_to_end(fingerprint)
         while len(self._successes) > _MAX_SUCCESSES:
             self._successes.popitem(last=False)
 
     def has_recent_success(self, fingerprint: str, now: float) -> bool:
-        """Whether a request ended well within the last minute."""
+        """Return whether a request succeeded within the last minute."""
         return now - self._successes.get(fingerprint, float("-inf")) <= _SUCCESS_LIFETIME_SECONDS
 
     def remove_expired(self, now: float) -> None:
-        """Drop what is too old to count, by the Unix time in seconds."""
+        """Remove expired cases.
+
+        Parameters
+        ----------
+        now : float
+            Unix time, seconds.
+        """
         for workspace, cases in list(self._single_end_cases.items()):
             while (
                 cases and now - next(iter(cases.values())).ended_at > _SINGLE_END_LIFETIME_SECONDS
--- a/whinrack/quarantine/base.py
+++ b/whinrack/quarantine/base.py
@@ -1,4 +1,4 @@
-"""What the pipeline asks before a run, and tells after it."""
+"""Interface between the request pipeline and the quarantine."""
 
 import msgspec
 
@@ -8,7 +8,7 @@
 
 
 class RequestSignature(msgspec.Struct, frozen=True):
-    """All requests with one fingerprint, whose they are and the route that they came on."""
+    """Fingerprint, workspace and route that identify equal requests."""
 
     fingerprint: str
     workspace: str
@@ -16,34 +16,35 @@
 
 
 class RunGuard:
-    """Keeps requests from targets, and learns how runs end."""
+    """Decides whether requests may run on targets and is notified how their runs end."""
 
     def admit(self, run: RequestSignature) -> None:
-        """Let a request go to a target.
+        """Check that a request may run on a target.
 
         Raises
         ------
         RequestQuarantined
+            If the request is in quarantine.
         """
         raise NotImplementedError
 
     def record_success(self, run: RequestSignature) -> None:
-        """Learn that a target ran a request to its end, and lives."""
+        """Record that a target has completed a request and is still running."""
         raise NotImplementedError
 
     def record_target_end(self, end: TargetEnd, runs: list[RequestSignature]) -> None:
-        """Learn that a target ended by itself, and which requests from here it cut."""
+        """Record the unplanned end of a target, and the requests from here that it interrupted."""
         raise NotImplementedError
 
 
 class AdmitAll(RunGuard):
-    """Keeps nothing away."""
+    """Guard without a quarantine."""
 
     def admit(self, run: RequestSignature) -> None:
-        """Let it go."""
+        """Admit every request."""
 
     def record_success(self, run: RequestSignature) -> None:
-        """Learn nothing."""
+        """Ignore the success."""
 
     def record_target_end(self, end: TargetEnd, runs: list[RequestSignature]) -> None:
-        """Learn nothing."""
+        """Ignore the end."""
--- a/whinrack/quarantine/tests/test_attribution.py
+++ b/whinrack/quarantine/tests/test_attribution.py
@@ -1,4 +1,4 @@
-"""Of all that a target ran when it ended, the one that was there each time is to blame."""
+"""Tests that the request that was present at each end of a target is blamed."""
 
 import random
 
@@ -33,7 +33,7 @@
 
 
 def storm(seed, targets=6, callers=40, ends=8):
-    """Return the cases after a culprit ended some targets; others come again after a cut."""
+    """Return the cases after a culprit ended some targets; interrupted requests are repeated."""
     chance = random.Random(seed)
     ends_of = {f"innocent-{number}": set() for number in range(callers)} | {"culprit": set()}
     for end in range(ends):
--- a/whinrack/quarantine/tests/test_case_store.py
+++ b/whinrack/quarantine/tests/test_case_store.py
@@ -1,4 +1,4 @@
-"""Suspects outlast a kill of all instances; a trial is taken once in the whole fleet."""
+"""Tests of stored cases, and of trials that one instance of the fleet can claim."""
 
 import pytest
 from returns.result import Failure, Success
--- a/whinrack/quarantine/tests/test_cases.py
+++ b/whinrack/quarantine/tests/test_cases.py
@@ -1,4 +1,4 @@
-"""Evidence of several instances is the same whatever the order in which it is put together."""
+"""Tests that merging evidence is commutative, associative and idempotent."""
 
 import msgspec
 from hypothesis import given
--- a/whinrack/quarantine/tests/test_fingerprint.py
+++ b/whinrack/quarantine/tests/test_fingerprint.py
@@ -1,4 +1,4 @@
-"""Requests with the same path, caller and body have one name, others have others."""
+"""Tests that fingerprints are equal exactly for the same host, path, caller and body."""
 
 import itertools
 
--- a/whinrack/quarantine/tests/test_quarantine.py
+++ b/whinrack/quarantine/tests/test_quarantine.py
@@ -1,4 +1,4 @@
-"""A fleet keeps a request out that ends its targets, and nobody else's."""
+"""Tests of the quarantine in a fleet: only the request that ends targets is refused."""
 
 import pytest
 
@@ -12,7 +12,7 @@
 
 
 class Instance(QuarantineHost):
-    """One instance; it reaches the peers in `hears`."""
+    """Instance whose messages reach the instances in `reachable`."""
 
     def __init__(self, name, store, clock):
         self.name = name
@@ -37,7 +37,7 @@
         self.case_store.write(self.quarantine.table.suspect_cases())
 
     def compare(self, peer):
-        """Do what heartbeats with different checksums do."""
+        """Exchange cases as heartbeats with different checksums do."""
         if self.quarantine.table.checksum() != peer.quarantine.table.checksum():
             peer.quarantine.merge_cases(self.quarantine.table.suspect_cases(), self.name)
             self.quarantine.merge_cases(peer.quarantine.table.suspect_cases(), peer.name)
@@ -119,7 +119,7 @@
     for target in "abc":
         fleet.end(0, target, DEADLY, NEIGHBOUR)
     assert fleet.admits(NEIGHBOUR) == [False] * 4
-    # One more end, that of a run that was under way, tells the two apart.
+    # One more end, of a run that was in progress, distinguishes the two.
     fleet.end(1, "d", DEADLY)
     assert fleet.admits(NEIGHBOUR) == [True] * 4
     assert fleet.admits() == [False] * 4
--- a/whinrack/quarantine/tests/test_table.py
+++ b/whinrack/quarantine/tests/test_table.py
@@ -1,4 +1,4 @@
-"""What an instance remembers is bounded, and what matters outlasts what doesn't."""
+"""Tests of the bounds of the case table and of the order of eviction."""
 
 from whinrack.quarantine import Case, TargetEnd
 from whinrack.quarantine._table import MAX_SUSPECTS, SUSPECT_LIFETIME_SECONDS, CaseTable
--- a/whinrack/quarantine/tests/test_trials.py
+++ b/whinrack/quarantine/tests/test_trials.py
@@ -1,4 +1,4 @@
-"""A request that is kept out is let through three times, at growing distances, then no more."""
+"""Tests that a quarantined request gets three trials with increasing pauses."""
 
 from whinrack.quarantine import Case, TargetEnd
 from whinrack.quarantine._trials import seconds_until_trial
