--- a/whinrack/store/__init__.py
+++ b/whinrack/store/__init__.py
@@ -1,4 +1,4 @@
-"""The one way to the object API: versioned objects, watches and the list of instances."""
+"""Client of the platform's object API: versioned objects, watches and the instance list."""
 
 from whinrack.store._adaptive_timeout import AdaptiveTimeout
 from whinrack.store._connections import StoreConnections
--- a/whinrack/store/_adaptive_timeout.py
+++ b/whinrack/store/_adaptive_timeout.py
@@ -1,26 +1,27 @@
-"""How late a store's answer may come before it counts as lost."""
+"""Timeout for answers of the store, adapted to its response times."""
 
 __all__ = ["AdaptiveTimeout"]
 
-# The slowest store that is known of answers in 0.39 s when it suddenly turns slow; with watches
-# held for 1 s and begun 0.1 s apart, a connection that fell silent shows within 1.6 s.
+# The slowest known store answers in 0.39 s when it suddenly becomes slow. With watches that are
+# held for 1 s and started 0.1 s apart, a silent connection is detected within 1.6 s.
 _MIN_SECONDS = 0.5
-# A store that was away is asked again after as long: what is waited here comes on top of the time
-# until its return is noticed.
+# A store that was down is called again only after this timeout, so it adds to the time until the
+# store's return is detected.
 _MAX_SECONDS = 0.8
-# Weights of a new sample and the number of deviations, of TCP's retransmission timer (RFC 6298).
+# Weights of a new sample and multiple of the deviation, as in TCP's retransmission timer
+# (RFC 6298).
 _MEAN_WEIGHT = 1 / 8
 _DEVIATION_WEIGHT = 1 / 4
 _DEVIATION_FACTOR = 4
-# After a lost answer.
+# Factor after a lost answer.
 _BACKOFF = 2
 
 
 class AdaptiveTimeout:
-    """Estimates how long to wait for an answer, as TCP does for its retransmissions.
+    """Estimates the timeout for an answer, as TCP does for its retransmissions.
 
-    A fixed wait is either long, so that a silent connection shows late (0.8 s let news of
-    leaving targets come 1.9 s old), or takes a slow store for a lost one.
+    A long fixed timeout detects a silent connection late: with 0.8 s, changes of leaving targets
+    arrived 1.9 s old. With a short fixed timeout the answers of a slow store count as lost.
     """
 
     def __init__(self):
@@ -30,11 +31,11 @@
 
     @property
     def seconds(self) -> float:
-        """How long to wait for the next answer."""
+        """Timeout for the next answer, seconds."""
         return min(_MAX_SECONDS, self._backoff * self._expected())
 
     def record_response(self, seconds: float) -> None:
-        """Take in the seconds that an answer took."""
+        """Record the response time of an answer."""
         self._backoff = 1
         if self._mean is None:
             self._mean, self._deviation = seconds, seconds / 2
@@ -44,12 +45,12 @@
         self._mean += _MEAN_WEIGHT * (seconds - self._mean)
 
     def record_response_within(self, seconds: float) -> None:
-        """Take in that an answer took at most so many seconds; how many isn't known."""
+        """Record an answer whose response time is unknown but at most `seconds`."""
         if seconds < self._expected():
             self._backoff = 1
 
     def record_timeout(self) -> None:
-        """Wait longer for the next answer: the store may only be slow."""
+        """Record a lost answer; the next timeout is longer, because the store may only be slow."""
         self._backoff = _BACKOFF
 
     def _expected(self) -> float:
--- a/whinrack/store/_connections.py
+++ b/whinrack/store/_connections.py
@@ -1,4 +1,4 @@
-"""Kept connections to one store, given up together when one of them is found dead."""
+"""Pool of connections to the store that is replaced when one of them loses a reply."""
 
 import urllib3
 from returns.result import Failure, Result, Success
@@ -11,18 +11,17 @@
 
 
 class StoreConnections:
-    """Makes single calls by HTTP, without retries.
+    """Makes single HTTP calls without retries over kept connections.
 
-    A reply that doesn't come leaves open whether the store or only the connection is gone.
-    Connections that were open by then may have gone the same way, so the next call opens a
-    new one.
+    A missing reply does not show whether the store is down or only the connection is dead. Other
+    open connections may be dead as well, so the next call opens a new one.
 
     Parameters
     ----------
     address : str
         ``host:port``.
     max_idle : int
-        Connections that are kept open when no call needs them.
+        Maximum number of idle connections that are kept open.
     """
 
     def __init__(self, address: str, max_idle: int):
@@ -38,7 +37,7 @@
         body: bytes | None = None,
         headers: dict[str, str] | None = None,
     ) -> Result[urllib3.BaseHTTPResponse, PlatformFailure]:
-        """Return the reply, whatever its status; a failure if there is none."""
+        """Return the reply, whatever its status, or a failure if there is none."""
         pool = self._pool
         try:
             reply = pool.urlopen(
@@ -52,7 +51,7 @@
         return Success(reply)
 
     def _discard(self, pool: urllib3.HTTPConnectionPool) -> None:
-        """Close what is idle; calls in progress end by themselves."""
+        """Replace a pool and close its idle connections; calls in progress are not interrupted."""
         if pool is self._pool:
             self._pool = self._new_pool()
             pool.close()
--- a/whinrack/store/_era.py
+++ b/whinrack/store/_era.py
@@ -1,4 +1,4 @@
-"""Which of its lives a store answers from: it may return from a copy without the latest writes."""
+"""Eras of a store, which may be restored from a backup that lacks the latest writes."""
 
 from collections.abc import Callable
 
@@ -6,18 +6,19 @@
 
 __all__ = ["EraChange", "StoreEra"]
 
-# Far more returns than a store makes; a larger number is not an era.
+# Far more restores than a store ever has; a number from here on is not an era.
 _ERA_LIMIT = 2**20
 
 
 class EraChange(msgspec.Struct, frozen=True):
-    """A store's first answer of a later era.
+    """Transition of the store to a later era.
 
     Attributes
     ----------
     before : int or None
-        The era that was named before, None if none was.
+        The previous era, None if no answer had named one.
     now : int
+        The new era.
     """
 
     before: int | None
@@ -27,17 +28,17 @@
 class StoreEra:
     """The latest era that a store has named in its answers.
 
-    A store counts its returns from a copy. What it said in an earlier era may be gone, and the
-    revisions of that era may be given out again.
+    The era is the number of times that the store was restored from a backup. Writes of an earlier
+    era may be lost, and their revisions may be assigned again.
 
     Attributes
     ----------
     current : int
-        0 as long as no answer has named one.
+        The era, 0 until an answer has named one.
     late_answers : int
-        Answers of an era before the current one.
+        Number of answers from an era before the current one.
     unreadable : int
-        Answers whose era can't be read.
+        Number of answers whose era could not be parsed.
     changed : list of callable
         Called with each `EraChange`.
     """
@@ -50,9 +51,17 @@
         self.listeners: list[Callable[[EraChange], None]] = []
 
     def observe(self, text: str | None) -> int:
-        """Take in what an answer names; returns the era that the answer belongs to.
+        """Process the era that an answer names.
 
-        An answer that names none, or none that can be read, belongs to the current era.
+        Parameters
+        ----------
+        text : str or None
+            The era as the answer has it, None if it names none.
+
+        Returns
+        -------
+        int
+            The era of the answer; the current one if it names none that can be parsed.
         """
         if text is None:
             return self.current
@@ -66,7 +75,7 @@
         return era
 
     def advance_to(self, era: int) -> None:
-        """Take in an era that an answer named, here or at a peer; an earlier one says nothing."""
+        """Advance to an era that an answer here or at a peer named; an earlier one is ignored."""
         if era > self.current or not self._is_named:
             change = EraChange(self.current if self._is_named else None, era)
             self.current, self._is_named = era, True
@@ -75,7 +84,7 @@
 
 
 def _parse(text: str) -> int | None:
-    """Return the number, None for anything else."""
+    """Return the era as a number, or None if the text is not a valid era."""
     text = text.strip()
     if not (text.isascii() and text.isdigit()) or len(text) > len(str(_ERA_LIMIT)):
         return None
--- a/whinrack/store/_http.py
+++ b/whinrack/store/_http.py
@@ -1,10 +1,10 @@
 """Adapter of the platform's object API over HTTP and JSON.
 
-The users' own protocol is not known yet; this module is the only one that would
-change. It speaks to the stand-in of this repository:
+The protocol of the users' own platform is not known yet; only this module would have to change
+for it. It implements the protocol of the stand-in platform in this repository:
 
 - ``GET|PUT|DELETE /v1/objects/<kind>/<name>``, writes with ``If-Match: <version>``
-  (0: must not exist), 409 with the current object;
+  (0: must not exist); a conflict gives 409 with the current object;
 - ``GET /v1/objects?kinds=a,b`` for a snapshot;
 - ``GET /v1/watch?kinds=a,b&since=<revision>&wait=<seconds>``;
 - ``GET /v1/instances``.
@@ -50,20 +50,20 @@
 
 
 class HttpObjectStore(ObjectStore):
-    """The platform's object API behind one client that counts and paces its calls.
+    """HTTP client of the platform's object API with a limited call rate.
 
     Parameters
     ----------
     address : str
         ``host:port`` of the object API.
     timeout : float
-        Seconds a call may take.
+        Seconds to wait for a reply.
     rate : float
-        Calls a second that this process may make.
+        Maximum number of calls per second of this process.
     max_wait : float
-        Seconds a call may be held back for the rate before it fails.
+        Maximum number of seconds that a call is delayed to keep the rate; otherwise it fails.
     on_call : callable, optional
-        Told the operation and result of each call, for counting.
+        Called with the operation and the result of each call, for metrics.
     clock, sleep : callable, optional
         Replaced in tests.
     """
@@ -103,20 +103,20 @@
     def put(
         self, kind: str, name: str, value: bytes, version: int
     ) -> Result[StoredObject, PlatformFailure]:
-        """Write an object that is at `version`; 0 means that it must not exist."""
+        """Write an object if it is at `version`; 0 means that it must not exist."""
         path = f"/v1/objects/{kind}/{name}"
         reply = self._call("put", "PUT", path, body=value, version=version)
         return reply.map(lambda body: _OBJECT.decode(body))
 
     def delete(self, kind: str, name: str, version: int) -> Result[None, PlatformFailure]:
-        """Delete an object that is at `version`."""
+        """Delete an object if it is at `version`."""
         reply = self._call("delete", "DELETE", f"/v1/objects/{kind}/{name}", version=version)
         return reply.map(lambda _body: None)
 
     def watch(
         self, kinds: Sequence[str], since: int, wait: float
     ) -> Result[WatchBatch, PlatformFailure]:
-        """Wait at most `wait` seconds for changes after a revision."""
+        """Wait at most `wait` seconds for changes after the revision `since`."""
         path = f"/v1/watch?kinds={','.join(kinds)}&since={since}&wait={wait}"
         reply = self._call("watch", "GET", path, timeout=wait + _WATCH_MARGIN_SECONDS)
         return reply.map(lambda body: _BATCH.decode(body))
@@ -136,7 +136,7 @@
         timeout: float | None = None,
     ) -> Result[bytes, PlatformFailure]:
         if self.clock() < self._retry_at:
-            return Failure(PlatformUnavailable(f"{operation}: backing off"))
+            return Failure(PlatformUnavailable(f"{operation}: no call until the backoff ends"))
         result = self._send_paced(operation, method, path, body, version, timeout)
         self._back_off(result)
         code = "ok" if isinstance(result, Success) else result.failure().code
@@ -144,7 +144,7 @@
         return result
 
     def _back_off(self, result: Result) -> None:
-        """While the platform is away, fail at once and try more and more rarely."""
+        """Update the backoff after a call; until the backoff ends, calls fail at once."""
         is_unavailable = isinstance(result, Failure) and isinstance(
             result.failure(), PlatformUnavailable | WriteUnknown
         )
@@ -159,7 +159,7 @@
     def _send_paced(self, operation, method, path, body, version, timeout):
         delay = self._bucket.reserve(self.clock())
         if delay > self.max_wait:
-            return Failure(RateExceeded(f"{operation}: over {self.rate:g} calls a second"))
+            return Failure(RateExceeded(f"{operation}: more than {self.rate:g} calls per second"))
         if delay > 0.0:
             self.sleep(delay)
         headers = {"Content-Type": _JSON}
--- a/whinrack/store/_metered.py
+++ b/whinrack/store/_metered.py
@@ -1,4 +1,4 @@
-"""Counts the calls to a store by operation and result."""
+"""Store wrapper that counts calls by operation and result."""
 
 from collections import Counter
 from collections.abc import Callable, Sequence
@@ -16,24 +16,25 @@
 
 
 class MeteredStore(ObjectStore):
-    """Passes calls on to another store and counts them.
+    """Forwards calls to another store and counts them.
 
     Parameters
     ----------
     store : ObjectStore
     on_call : callable
-        Called with operation and result of each call.
+        Called with the operation and the result of each call.
 
     Attributes
     ----------
     calls : Counter
-        Calls by (operation, result); operations name the kinds of objects, "get books".
+        Number of calls by (operation, result). Operations include the kinds of objects, such as
+        "get books".
     bytes : Counter
-        Bytes of the objects' values that were sent or came back, by operation.
+        Bytes of the objects' values that were sent or received, by operation.
     answered_at : float
-        Steady clock when the store answered last, whatever it said.
+        Steady clock at the last answer of the store, including "not found" and conflicts.
     last_failure : str
-        The operation that failed last, and why.
+        The last operation that failed, and the reason.
     """
 
     def __init__(self, store: ObjectStore, on_call: Callable[[str, str], None]):
@@ -57,26 +58,26 @@
     def put(
         self, kind: str, name: str, value: bytes, version: int
     ) -> Result[StoredObject, PlatformFailure]:
-        """Write an object that is at `version`."""
+        """Write an object if it is at `version`."""
         self.bytes[f"put {kind}"] += len(value)
         return self._record(f"put {kind}", self.store.put(kind, name, value, version))
 
     def delete(self, kind: str, name: str, version: int) -> Result[None, PlatformFailure]:
-        """Delete an object that is at `version`."""
+        """Delete an object if it is at `version`."""
         return self._record(f"delete {kind}", self.store.delete(kind, name, version))
 
     def watch(
         self, kinds: Sequence[str], since: int, wait: float
     ) -> Result[WatchBatch, PlatformFailure]:
-        """Wait for changes after a revision."""
+        """Wait at most `wait` seconds for changes after the revision `since`."""
         return self._record(_operation_name("watch", kinds), self.store.watch(kinds, since, wait))
 
     def format_calls(self) -> str:
-        """Return the counts as text, for the log."""
+        """Return the numbers of calls as text for the log."""
         return ", ".join(f"{name}/{result}:{n}" for (name, result), n in self.calls.items())
 
     def format_bytes(self) -> str:
-        """Return the bytes of values as text, for the log."""
+        """Return the numbers of bytes as text for the log."""
         return ", ".join(f"{name}:{size}" for name, size in self.bytes.items())
 
     def _record(self, operation: str, result: Result) -> Result:
@@ -96,7 +97,7 @@
 
 
 def _value_bytes(result: Result) -> int:
-    """Return the bytes of the values that an answer brought; a conflict brings the object."""
+    """Return the size of the values in an answer; a conflict contains the current object."""
     if isinstance(result, Failure):
         current = result.failure().current if isinstance(result.failure(), Conflict) else None
         return len(current.value) if current is not None else 0
--- a/whinrack/store/_object_editor.py
+++ b/whinrack/store/_object_editor.py
@@ -1,4 +1,4 @@
-"""Read, change, write conditionally, and again until it is certain."""
+"""Conditional read-modify-write of stored objects, repeated until the outcome is certain."""
 
 import random
 import time
@@ -31,23 +31,23 @@
 class ObjectEditor(Generic[Value]):
     """Applies idempotent changes to objects of one kind.
 
-    A change is a function from the present value (None if there is no object) to the
-    new value, or to None where nothing is left to do. It must be *idempotent*: it has
-    to recognise its own earlier effect in the value. That is what makes a lost reply
-    harmless, since the change is then tried again on what is really stored.
+    A change is a function from the current value (None if there is no object) to the new value,
+    or to None if nothing is left to do. It must be *idempotent*, that is, recognise its own
+    earlier effect in the value. A lost reply is then harmless, because the change is tried again
+    on the value that is actually stored.
 
     Parameters
     ----------
     store : ObjectStore
-        Where the objects are.
+        Store of the objects.
     kind : str
         The kind of object.
     value_type : type
-        The struct that the values decode to.
+        Type that the values are decoded to.
     attempts : int
-        Writes that are tried before giving up.
+        Maximum number of writes.
     seed : int, optional
-        Seeds the backoff's jitter.
+        Seed of the backoff's jitter.
     sleep : callable, optional
         Replaced in tests.
     """
@@ -71,7 +71,7 @@
         self._known: OrderedDict[str, StoredObject] = OrderedDict()
 
     def read(self, name: str) -> Result[Value, PlatformFailure]:
-        """Read the stored value afresh."""
+        """Read the stored value, bypassing the cache."""
         result = self.store.get(self.kind, name)
         if isinstance(result, Success):
             self._cache_object(name, result.unwrap())
@@ -80,10 +80,10 @@
     def apply(
         self, name: str, change: Callable[[Value | None], Value | None]
     ) -> Result[Value, PlatformFailure]:
-        """Apply a change and return the value that is then known to be stored.
+        """Apply a change and return the value that is known to be stored afterwards.
 
-        The version seen last is tried first, so an undisturbed change costs one call.
-        A `WriteUnknown` failure means that the effect could not be found out.
+        The cached version is tried first, so a change without a conflict costs one call. A
+        `WriteUnknown` failure means that the effect could not be determined.
         """
         unknown_write: PlatformFailure | None = None
         for attempt in range(self.attempts):
@@ -109,7 +109,7 @@
                 return Success(new)
             failure = written.failure()
             if isinstance(failure, NotFound):
-                # The object is gone: it is made again.
+                # The object was deleted: create it again.
                 self._known.pop(name, None)
                 continue
             if not isinstance(failure, Conflict | WriteUnknown):
--- a/whinrack/store/_token_bucket.py
+++ b/whinrack/store/_token_bucket.py
@@ -1,17 +1,17 @@
-"""A token bucket without a clock of its own."""
+"""Token bucket that gets the time from its caller."""
 
 __all__ = ["TokenBucket"]
 
 
 class TokenBucket:
-    """Permits at a rate, saved up to a burst.
+    """Limits the rate of operations, with bursts up to a bound.
 
     Parameters
     ----------
     rate : float
-        Permits a second.
+        Permits per second.
     burst : float
-        Most permits that are saved up.
+        Maximum number of accumulated permits.
 
     Examples
     --------
@@ -27,13 +27,13 @@
         self._refilled_at: float | None = None
 
     def reserve(self, now: float) -> float:
-        """Take one permit and return the seconds to wait before using it."""
+        """Reserve one permit and return the seconds to wait before using it."""
         self._refill(now)
         self._permits -= 1.0
         return max(0.0, -self._permits / self.rate)
 
     def try_acquire(self, now: float) -> bool:
-        """Take one permit if one is there now."""
+        """Take one permit if one is available now; return whether one was."""
         self._refill(now)
         if self._permits < 1.0:
             return False
--- a/whinrack/store/_types.py
+++ b/whinrack/store/_types.py
@@ -1,4 +1,4 @@
-"""Typed messages of the platform's object API and instance list."""
+"""Types of the platform's object API and instance list."""
 
 from enum import StrEnum
 
@@ -14,15 +14,15 @@
 
 
 class StoredObject(msgspec.Struct, frozen=True):
-    """An object as the platform holds it.
+    """An object as it is stored by the platform.
 
     Attributes
     ----------
     version : int
-        The revision of the object's last change, as `compose_revision` makes it; grows with every
-        write, and when the store comes back from a copy.
+        Revision of the object's last change, as returned by `compose_revision`; it increases with
+        every write, also after the store was restored from a backup.
     value : msgspec.Raw
-        The JSON value, not decoded.
+        The undecoded JSON value.
     deleted : bool
         True in a watch event that reports a deletion.
     """
@@ -40,7 +40,7 @@
     Attributes
     ----------
     age : float
-        Seconds since the store confirmed it; 0 from the store itself.
+        Seconds since the store confirmed the snapshot; 0 if it comes from the store itself.
     """
 
     revision: int
@@ -51,8 +51,14 @@
 class WatchBatch(msgspec.Struct, frozen=True):
     """Changes after a revision, up to and including `revision`.
 
-    `gap` says that changes before the batch are missing: list again. `age` is the time in
-    seconds since the store confirmed the revision; 0 from the store itself.
+    Attributes
+    ----------
+    revision : int
+    objects : tuple of StoredObject
+    gap : bool
+        Whether changes before the batch are missing, so that the objects must be listed again.
+    age : float
+        Seconds since the store confirmed the revision; 0 if the batch comes from the store itself.
     """
 
     revision: int
@@ -62,14 +68,14 @@
 
 
 class InstanceState(StrEnum):
-    """What the instance list says about an instance."""
+    """State of an instance in the instance list."""
 
     LIVE = "live"
     LEAVING = "leaving"
 
 
 class InstanceRecord(msgspec.Struct, frozen=True):
-    """One row of the platform's list of instances, which lags."""
+    """Row of the platform's instance list, which lags behind the actual state."""
 
     name: str
     role: str
--- a/whinrack/store/_unknown_fields.py
+++ b/whinrack/store/_unknown_fields.py
@@ -1,4 +1,4 @@
-"""Fields of a store's answers that nothing here reads."""
+"""Record of unknown fields in the store's answers."""
 
 from collections.abc import Callable, Iterable
 
@@ -8,12 +8,12 @@
 
 
 class UnknownFields:
-    """Names of fields that are not known, the first ones.
+    """Collects the names of unknown fields, up to a maximum number.
 
     Attributes
     ----------
-    found : list of callable
-        Called with each name when it is met first.
+    listeners : list of callable
+        Called with each name when it occurs for the first time.
     """
 
     def __init__(self):
@@ -21,7 +21,7 @@
         self._names: set[str] = set()
 
     def record(self, names: Iterable[str]) -> None:
-        """Take in the names that an answer has beside those that are known."""
+        """Record the unknown field names of an answer."""
         for name in names:
             if name in self._names or len(self._names) >= _MAX_FIELDS:
                 continue
--- a/whinrack/store/base.py
+++ b/whinrack/store/base.py
@@ -1,4 +1,4 @@
-"""The small interface that every platform adapter and fake provides."""
+"""Interface that every platform adapter and fake store implements."""
 
 from collections.abc import Sequence
 from functools import cached_property
@@ -14,7 +14,17 @@
 
 
 def lost_reply_failure(method: str, why: str) -> PlatformFailure:
-    """Return the failure of an HTTP call whose reply is lost: a write may be done."""
+    """Return the failure of an HTTP call without a usable reply.
+
+    After a lost reply it is unknown whether a write was applied.
+
+    Parameters
+    ----------
+    method : str
+        HTTP method of the call.
+    why : str
+        Reason for the error message.
+    """
     if method == "GET":
         return ReplyLost(why)
     return WriteUnknown(f"reply lost: {why}")
@@ -29,12 +39,12 @@
 
     @cached_property
     def era(self) -> StoreEra:
-        """Which of its lives the store answers from; one that names none stays in its first."""
+        """Era from which the store answers; 0 for a store that names none."""
         return StoreEra()
 
     @cached_property
     def unknown_fields(self) -> UnknownFields:
-        """What the store states in its answers and nothing here reads."""
+        """Fields of the store's answers that this client does not know."""
         return UnknownFields()
 
     def get(self, kind: str, name: str) -> Result[StoredObject, PlatformFailure]:
@@ -48,17 +58,17 @@
     def put(
         self, kind: str, name: str, value: bytes, version: int
     ) -> Result[StoredObject, PlatformFailure]:
-        """Write an object that is at `version`; 0 means that it must not exist."""
+        """Write an object if it is at `version`; 0 means that it must not exist."""
         raise NotImplementedError
 
     def delete(self, kind: str, name: str, version: int) -> Result[None, PlatformFailure]:
-        """Delete an object that is at `version`."""
+        """Delete an object if it is at `version`."""
         raise NotImplementedError
 
     def watch(
         self, kinds: Sequence[str], since: int, wait: float
     ) -> Result[WatchBatch, PlatformFailure]:
-        """Wait at most `wait` seconds for changes after a revision."""
+        """Wait at most `wait` seconds for changes after the revision `since`."""
         raise NotImplementedError
 
     def instances(self) -> Result[tuple[InstanceRecord, ...], PlatformFailure]:
--- a/whinrack/store/tests/test_adaptive_timeout.py
+++ b/whinrack/store/tests/test_adaptive_timeout.py
@@ -1,13 +1,13 @@
-"""How long to wait for an answer of a store that is quick, slow, or turns slow."""
+"""Tests of the adaptive timeout with fast and slow stores."""
 
 import pytest
 
 from whinrack.store import AdaptiveTimeout
 
 _QUICK = 0.004
-# A slow store of the days that were played.
+# Response time of the slow store in the simulated days.
 _SLOW = 0.39
-# Slower than any that was played.
+# Longer than any response time in the simulated days.
 _SLOWER = 0.7
 
 
--- a/whinrack/store/tests/test_connections.py
+++ b/whinrack/store/tests/test_connections.py
@@ -1,4 +1,4 @@
-"""Kept connections to a store, and what one lost reply says of the others."""
+"""Tests that a lost reply makes later calls open new connections."""
 
 import socket
 import threading
@@ -18,7 +18,7 @@
 
 
 class Server:
-    """Answers every request; connections that are open can be told to fall silent."""
+    """Server that answers every request, except on silenced connections."""
 
     def __init__(self):
         self.sockets, self.silent = [], set()
@@ -56,7 +56,7 @@
 
 @pytest.fixture
 def connections(server):
-    """Connections of which several are open and idle."""
+    """Return a client with several open idle connections."""
     kept = StoreConnections(server.address, _KEPT)
     pool = kept._pool
     taken = [pool._get_conn() for _ in range(_KEPT)]
--- a/whinrack/store/tests/test_era.py
+++ b/whinrack/store/tests/test_era.py
@@ -1,4 +1,4 @@
-"""The era that a store names in its answers."""
+"""Tests of the era that a store names in its answers."""
 
 from whinrack.store import EraChange, StoreEra
 
--- a/whinrack/store/tests/test_store.py
+++ b/whinrack/store/tests/test_store.py
@@ -1,4 +1,4 @@
-"""The conditional editor under lost replies, conflicts and stale knowledge; pacing."""
+"""Tests of the object editor, the metered store, the HTTP client and the token bucket."""
 
 import msgspec
 from returns.result import Failure, Success
@@ -9,7 +9,7 @@
 
 
 class Marks(msgspec.Struct):
-    """A value whose changes leave marks."""
+    """Value that records which changes were applied."""
 
     marks: dict[str, int] = {}
 
@@ -22,7 +22,7 @@
     store.get("k", "a")
     store.list(["k", "m"])
     assert counted == [("put k", "ok"), ("put k", "conflict"), ("get k", "ok"), ("list k+m", "ok")]
-    # Both values that were sent, what the first write returned and what the conflict brought.
+    # The two values that were sent, the result of the first write and the object in the conflict.
     assert store.bytes["put k"] == 7 + 3 + 7 + 7
     assert (store.bytes["get k"], store.bytes["list k+m"]) == (7, 7)
 
@@ -32,7 +32,7 @@
 
 
 def add(mark):
-    """Return a change that counts once by its mark."""
+    """Return an idempotent change that adds a mark."""
 
     def change(value):
         value = value or Marks()
