--- a/whinrack/membership/__init__.py
+++ b/whinrack/membership/__init__.py
@@ -1,4 +1,4 @@
-"""Membership of the fleet."""
+"""Membership of the fleet: live and leaving instances."""
 
 from whinrack.membership._members import ROUTER_ROLE, TARGET_ROLE, Member, MembershipTable
 
--- a/whinrack/membership/_members.py
+++ b/whinrack/membership/_members.py
@@ -1,4 +1,4 @@
-"""Who is in the fleet, from a lagging list and from heartbeats."""
+"""Membership table, from the platform's lagging instance list and from heartbeats."""
 
 from collections.abc import Iterable
 
@@ -11,13 +11,14 @@
 
 ROUTER_ROLE = "router"
 TARGET_ROLE = "target"
+# Seconds for which an instance counts as leaving after the last report of it.
 _LEAVING_MEMORY_SECONDS = 120.0
-# Peers that each daemon exchanges heartbeats with in every round, both ways counted.
+# Peers that each daemon exchanges heartbeats with in one round, sent and received.
 _FULL_MESH_SIZE = 24
 
 
 class Member(msgspec.Struct, frozen=True, kw_only=True):
-    """A daemon's word on itself, as its heartbeat carries it."""
+    """State of a daemon as reported in its heartbeat."""
 
     incarnation: str
     name: str
@@ -32,18 +33,19 @@
 
 
 class MembershipTable:
-    """Peers by name, with when they were last heard. Decisions only, no I/O.
+    """Known peers by name and the times of their last heartbeats; it does no I/O.
 
-    A wrong view costs time and never safety: nothing is spent, billed or run by
-    virtue of it.
+    A wrong view costs time but never correctness: tokens are not spent or billed and requests are
+    not run on the strength of it.
 
     Parameters
     ----------
     name : str
-        This instance.
+        Name of this instance.
     suspect_after : float
-        Seconds without a word after which a peer doesn't look alive. In a fleet larger
-        than `FULL_MESH` peers are heard from in turn, and it grows in proportion.
+        Seconds without a heartbeat after which a peer is no longer live. It increases in
+        proportion in fleets of more than `_FULL_MESH_SIZE` peers, which exchange heartbeats in
+        turn.
     """
 
     def __init__(self, name: str, suspect_after: float = 3.5):
@@ -55,7 +57,13 @@
         self._leaving_since: dict[str, float] = {}
 
     def record_heartbeat(self, member: Member, now: float) -> bool:
-        """Take in a heartbeat or its reply; True if the peer looked dead before."""
+        """Update a peer from a heartbeat or its reply.
+
+        Returns
+        -------
+        bool
+            True if the peer was not live before.
+        """
         if member.name == self.name:
             return False
         was_silent = not self._is_alive(member.name, now)
@@ -64,21 +72,21 @@
         return was_silent
 
     def update_from_list(self, records: Iterable[InstanceRecord], now: float) -> None:
-        """Take in the platform's list."""
+        """Replace the rows of the platform's instance list."""
         self._listed_instances = {record.name: record for record in records}
         for record in self._listed_instances.values():
             if record.state is InstanceState.LEAVING:
                 self._leaving_since[record.name] = now
 
     def add_leaving_instances(self, instances: Iterable[str], now: float) -> list[str]:
-        """Take in a peer's word on leaving instances; returns the new ones."""
+        """Add instances that a peer reports as leaving; return those that were not known to be."""
         fresh = [name for name in instances if name not in self._leaving_since]
         for name in fresh:
             self._leaving_since[name] = now
         return fresh
 
     def leaving_instances(self, now: float) -> set[str]:
-        """Return instances that any source says are leaving."""
+        """Return the instances that the list or a peer reports as leaving."""
         for name, at in list(self._leaving_since.items()):
             record = self._listed_instances.get(name)
             is_listed = record is not None and record.state is InstanceState.LEAVING
@@ -97,24 +105,24 @@
         return sorted({*listed, *known, *seeds} - {""})
 
     def addresses_heard_since(self, moment: float) -> set[str]:
-        """Return the peer addresses that were heard from after a moment."""
+        """Return the addresses of the peers that were heard after a time of the steady clock."""
         return {
             self._members[name].peer_address for name, at in self._heard_at.items() if at > moment
         }
 
     def live_members(self, now: float) -> list[Member]:
-        """Return the peers that look alive."""
+        """Return the live peers."""
         return [member for name, member in self._members.items() if self._is_alive(name, now)]
 
     def find(self, incarnation: str) -> Member | None:
-        """Return the peer that runs as an incarnation, alive or not."""
+        """Return the peer with an incarnation, live or not, or None if there is none."""
         for member in self._members.values():
             if member.incarnation == incarnation:
                 return member
         return None
 
     def remove_silent(self, now: float, after: float) -> list[str]:
-        """Drop peers that are neither listed nor heard for long; returns their names."""
+        """Remove unlisted peers without a heartbeat for `after` seconds; return their names."""
         silent = [
             name
             for name, at in self._heard_at.items()
@@ -125,10 +133,11 @@
         return silent
 
     def entry_points(self, own: Member, now: float, busy: int = 1_000_000) -> list[Member]:
-        """Return the instances that callers may be sent to, preferred first.
+        """Return the instances that callers may be sent to, in order of preference.
 
-        Own data hall first, then the own region, each by load. Instances with `busy`
-        or more requests in progress are left out, unless all are that busy.
+        Instances of the own data hall come first, then those of the own region, each ordered by
+        load. Instances with `busy` or more requests in progress are left out, unless all are that
+        busy.
         """
         candidates = [own, *self.live_members(now)]
         serving = [member for member in candidates if not self._is_leaving(member)]
@@ -145,13 +154,13 @@
         return sorted(idle or serving, key=order)
 
     def watcher_incarnations(self, own: Member, count: int, now: float) -> list[str]:
-        """Return the incarnations of the own hall that watch the platform."""
+        """Return the incarnations in the own data hall that watch the platform, at most `count`."""
         hall = [member for member in self.live_members(now) if member.data_hall == own.data_hall]
         names = [member.incarnation for member in hall if not member.leaving]
         return rendezvous(own.data_hall, [own.incarnation, *names])[:count]
 
     def drawing_incarnation(self, own: Member, account: str, now: float) -> str:
-        """Return the incarnation that draws from an account for the own region."""
+        """Return the incarnation that draws tokens from an account for the own region."""
         region = [member for member in self.live_members(now) if member.region == own.region]
         names = [member.incarnation for member in region if not member.leaving]
         if not own.leaving:
@@ -159,12 +168,12 @@
         return rendezvous(account, names or [own.incarnation])[0]
 
     def home_incarnation(self, own: Member, identity: str, now: float) -> str:
-        """Return the home incarnation of a request that came without a ticket."""
+        """Return the home incarnation of a request without a ticket."""
         names = [member.incarnation for member in self.live_members(now)]
         return rendezvous(identity, [own.incarnation, *names])[0]
 
     def handover_candidates(self, now: float) -> list[str]:
-        """Return the incarnations that may inherit a stopping home's memory."""
+        """Return the incarnations that may take over the request memory of a stopping home."""
         return [member.incarnation for member in self.live_members(now) if not member.leaving]
 
     def _is_alive(self, name: str, now: float) -> bool:
--- a/whinrack/membership/tests/test_membership.py
+++ b/whinrack/membership/tests/test_membership.py
@@ -1,4 +1,4 @@
-"""Membership from a lagging list and heartbeats."""
+"""Tests of the membership table with a lagging list and heartbeats."""
 
 from whinrack.membership import Member, MembershipTable
 from whinrack.store import InstanceRecord, InstanceState
