--- a/whinrack/feed/__init__.py
+++ b/whinrack/feed/__init__.py
@@ -1,4 +1,4 @@
-"""Configuration: taken from the platform or from peers, and followed."""
+"""Configuration objects in force, received from the platform or from peers."""
 
 from whinrack.feed._config_store import ConfigStore, ConfigView
 
--- a/whinrack/feed/_config_store.py
+++ b/whinrack/feed/_config_store.py
@@ -1,4 +1,4 @@
-"""The configuration in force here: never an older version after a newer one."""
+"""Configuration in force at this instance; versions of objects never decrease."""
 
 import bisect
 from collections.abc import Callable, Iterable
@@ -17,13 +17,13 @@
 
 
 class ConfigView:
-    """Typed read access to the objects in force."""
+    """Read access to the decoded objects in force."""
 
     def __init__(self):
         self._specs: dict[str, dict[str, Spec]] = {kind: {} for kind in DECLARED_KINDS}
 
     def get(self, kind: type[Spec], name: str) -> Spec | None:
-        """Return an object's spec, None if there is none."""
+        """Return the spec of an object, or None if there is none."""
         return self._specs[kind.__name__].get(name)
 
     def specs_of_kind(self, kind: type[Spec]) -> dict[str, Spec]:
@@ -32,14 +32,14 @@
 
 
 class ConfigStore(ConfigView):
-    """Takes objects from any source and keeps the highest version of each.
+    """Applies objects from any source and keeps the highest version of each.
 
     Parameters
     ----------
     on_change : callable, optional
-        Told the kinds of the objects that a batch brought into force.
+        Called with the kinds of the objects that a batch changed.
     on_invalid : callable, optional
-        Told each object that was refused, with the reason.
+        Called with each object that was rejected and the error.
     """
 
     def __init__(
@@ -57,11 +57,17 @@
 
     @property
     def newest_version(self) -> int:
-        """Version of the newest object in force; the same at daemons that agree."""
+        """Version of the newest object in force; equal at daemons with the same configuration."""
         return self._newest
 
     def apply_object(self, stored: StoredObject) -> bool:
-        """Take in one object; False if it isn't newer than what is here."""
+        """Apply one object.
+
+        Returns
+        -------
+        bool
+            False if it is not newer than the known version, or not a configuration object.
+        """
         key = (stored.kind, stored.name)
         previous = self._stored.get(key)
         if previous is not None and previous.version >= stored.version:
@@ -75,7 +81,7 @@
         return True
 
     def apply_batch(self, revision: int, objects: Iterable[StoredObject]) -> int:
-        """Take in changes up to a revision; returns how many were new."""
+        """Apply changes up to a revision; return how many objects were new."""
         taken = [stored.kind for stored in objects if self.apply_object(stored)]
         self.revision = max(self.revision, revision)
         if taken:
@@ -83,9 +89,9 @@
         return len(taken)
 
     def apply_snapshot(self, revision: int, objects: Iterable[StoredObject]) -> int:
-        """Take in everything there is at a revision.
+        """Apply all objects that exist at a revision.
 
-        What is here, not in the snapshot and not newer than it was deleted meanwhile.
+        Known objects that are not in the snapshot and not newer than it are deleted.
         """
         objects = list(objects)
         present = {(stored.kind, stored.name) for stored in objects}
@@ -97,12 +103,12 @@
         return self.apply_batch(revision, [*objects, *deleted])
 
     def changes_after(self, revision: int) -> list[StoredObject]:
-        """Return the objects whose last change is after a revision, deletions too."""
+        """Return the objects whose last change is after a revision, including deletions."""
         start = bisect.bisect_right(self._version_index, revision, key=_row_version)
         return [self._stored[kind, name] for _, kind, name in self._version_index[start:]]
 
     def versions(self) -> dict[str, int]:
-        """Return the version in force of each object, by `kind/name`."""
+        """Return the version in force of each object by `kind/name`, without deleted ones."""
         return {
             f"{stored.kind}/{stored.name}": stored.version
             for stored in self._stored.values()
--- a/whinrack/feed/tests/test_feed.py
+++ b/whinrack/feed/tests/test_feed.py
@@ -1,4 +1,4 @@
-"""The configuration store under messages that are late, doubled and out of order."""
+"""Tests of the configuration store under late, duplicate and reordered messages."""
 
 import hypothesis.strategies as st
 import msgspec
@@ -13,7 +13,7 @@
 
 
 def history(changes):
-    """Turn changes into stored objects with growing versions."""
+    """Return stored objects with increasing versions for (name, deleted) pairs."""
     return [
         StoredObject("Workspace", name, version + 1, msgspec.Raw(VALUES[version % 2]), deleted)
         for version, (name, deleted) in enumerate(changes)
