--- a/whinrack/gossip/_draw_coordinator.py
+++ b/whinrack/gossip/_draw_coordinator.py
@@ -207,8 +207,10 @@
         This instance is included if the store has answered it recently, or if there is no peer.
         """
         own = self.own_state()
-        reaching = [view.state for view in views.values()]
-        return [*reaching, own] if own.store_confirmed or not reaching else reaching
+        reaching_store = [view.state for view in views.values()]
+        return (
+            [*reaching_store, own] if own.store_confirmed or not reaching_store else reaching_store
+        )
 
     def _send_and_wait(
         self, writer: PeerView, make_request: Callable[[int], DrawRequest | ReleaseRequest]
--- a/whinrack/gossip/_peers.py
+++ b/whinrack/gossip/_peers.py
@@ -169,8 +169,8 @@
 
     def pop_missing_states_flag(self) -> bool:
         """Return whether states of live peers are missing, and reset the flag."""
-        lacks, self._is_missing_states = self._is_missing_states, False
-        return lacks
+        is_missing, self._is_missing_states = self._is_missing_states, False
+        return is_missing
 
     def live_peers(self, now: float) -> list[PeerView]:
         """Return the live peers."""
@@ -241,14 +241,18 @@
         if self.is_full_mesh:
             return Receivers(own_hall=list(self._address_seen_at), other_halls=[])
         live = self.live_peers(now)
-        near = {view.state.sender.address for view in live if self.is_in_own_hall(view.state)}
-        far = {view.state.sender.address for view in live} - near
-        unheard = [address for address in self._address_seen_at if address not in near | far]
+        own_hall = {view.state.sender.address for view in live if self.is_in_own_hall(view.state)}
+        other_halls = {view.state.sender.address for view in live} - own_hall
+        unheard = [
+            address for address in self._address_seen_at if address not in own_hall | other_halls
+        ]
         tried = self._random.sample(unheard, min(_MAX_UNHEARD_TRIED, len(unheard)))
-        in_hall = max(_FANOUT_IN_HALL, _FANOUT - len(far))
-        chosen = self._next_in_turn(self._own_hall_queue, near, in_hall)
-        others = self._next_in_turn(self._other_halls_queue, far, _FANOUT - len(chosen))
-        return Receivers(own_hall=chosen, other_halls=[*others, *tried])
+        count_in_hall = max(_FANOUT_IN_HALL, _FANOUT - len(other_halls))
+        chosen = self._next_in_turn(self._own_hall_queue, own_hall, count_in_hall)
+        chosen_elsewhere = self._next_in_turn(
+            self._other_halls_queue, other_halls, _FANOUT - len(chosen)
+        )
+        return Receivers(own_hall=chosen, other_halls=[*chosen_elsewhere, *tried])
 
     def is_in_own_hall(self, state: PeerState) -> bool:
         """Return whether an instance is in the same data hall as this one."""
--- a/whinrack/gossip/_token_source.py
+++ b/whinrack/gossip/_token_source.py
@@ -18,7 +18,7 @@
 __all__ = ["GossipTokenSource"]
 
 # Multiple of the reply timeout for a peer that has to write to the store before it replies.
-_BORROW_TIMEOUT_FACTOR = 10
+_PEER_DRAW_TIMEOUT_FACTOR = 10
 # A supplier is asked twice, because datagrams can be lost.
 _SUPPLY_TIMEOUT_FACTORS = (1, 1)
 # Peers that are asked for spare tokens; in a large fleet the suppliers hold most of them.
@@ -142,14 +142,14 @@
         self, budget: str, need: int, wish: int, received: dict[str, int]
     ) -> list[TransferTotal]:
         """Ask one peer that reaches the store to draw the needed tokens."""
-        reaching = self.peers.peers_with_store(steady())
-        views = {view.state.sender.name: view for view in reaching}
+        reaching_store = self.peers.peers_with_store(steady())
+        views = {view.state.sender.name: view for view in reaching_store}
         if not views:
             return []
-        lender = rendezvous(f"{self.holder}/{budget}", views)[0]
+        drawing_peer = rendezvous(f"{self.holder}/{budget}", views)[0]
         request = self._request(budget, need, wish, allow_draw=True)
         return self._ask(
-            [views[lender]], request, received, _BORROW_TIMEOUT_FACTOR * self.reply_timeout
+            [views[drawing_peer]], request, received, _PEER_DRAW_TIMEOUT_FACTOR * self.reply_timeout
         )
 
     def handle_reply(self, reply: TokenReply) -> None:
--- a/whinrack/gossip/tests/test_draw_coordinator.py
+++ b/whinrack/gossip/tests/test_draw_coordinator.py
@@ -78,122 +78,122 @@
     )
     peers, link, books = PeerTable("m1", 1.0, 10.0), Link(), Books()
     own_state = lambda: beat("m1", bandwidth=HIGH_BANDWIDTH).state  # noqa: E731
-    drawer = DrawCoordinator("m1", own_state, books, link, peers, accept_timeout=0.05)
-    return drawer, peers, link, books
+    coordinator = DrawCoordinator("m1", own_state, books, link, peers, accept_timeout=0.05)
+    return coordinator, peers, link, books
 
 
 def test_writer_writes_for_other_instances(world):
-    drawer, peers, link, books = world
+    coordinator, peers, link, books = world
     peers.record_heartbeat(beat("m0"), 0.0)
-    link.deliver = lambda request: drawer.handle_reply(
+    link.deliver = lambda request: coordinator.handle_reply(
         DrawReply(request.request_id, {"b": DrawResult(drawn=9)})
     )
-    assert drawer.draw_for_holder(ORDERS).unwrap()["b"].drawn == 9
+    assert coordinator.draw_for_holder(ORDERS).unwrap()["b"].drawn == 9
     assert books.written == []
 
 
 def test_writer_that_does_not_reply_is_avoided_and_the_instance_writes_by_itself(world):
-    drawer, peers, link, books = world
+    coordinator, peers, link, books = world
     peers.record_heartbeat(beat("m0"), 0.0)
-    assert drawer.draw_for_holder(ORDERS).unwrap()["b"].drawn == 5
-    drawer.draw_for_holder(ORDERS)
+    assert coordinator.draw_for_holder(ORDERS).unwrap()["b"].drawn == 5
+    coordinator.draw_for_holder(ORDERS)
     assert (len(link.sent), len(books.written)) == (1, 2)
 
 
 def test_second_writer_is_asked_before_an_instance_writes_by_itself(world):
-    drawer, peers, link, books = world
+    coordinator, peers, link, books = world
     peers.record_heartbeat(beat("m00"), 0.0)
     peers.record_heartbeat(beat("m01"), 0.0)
 
     def only_the_second_replies(request):
         if len(link.sent) > 1:
-            drawer.handle_reply(DrawReply(request.request_id, {"b": DrawResult(drawn=9)}))
+            coordinator.handle_reply(DrawReply(request.request_id, {"b": DrawResult(drawn=9)}))
 
     link.deliver = only_the_second_replies
-    assert drawer.draw_for_holder(ORDERS).unwrap()["b"].drawn == 9
+    assert coordinator.draw_for_holder(ORDERS).unwrap()["b"].drawn == 9
     assert books.written == []
 
 
 @pytest.mark.parametrize("changes", [{"store_confirmed": False}, {"ready": False}])
 def test_instance_without_the_store_or_stopping_is_no_writer(world, changes):
-    drawer, peers, link, _ = world
+    coordinator, peers, link, _ = world
     peers.record_heartbeat(beat("m0", **changes), 0.0)
-    drawer.draw_for_holder(ORDERS)
+    coordinator.draw_for_holder(ORDERS)
     assert link.sent == []
 
 
 def test_late_reply_is_dropped(world):
-    drawer, *_ = world
-    drawer.handle_reply(DrawReply(77, {}))
+    coordinator, *_ = world
+    coordinator.handle_reply(DrawReply(77, {}))
 
 
-def slow_writer(drawer, link, seconds, books):
+def slow_writer(coordinator, link, seconds, books):
     """Simulate a writer that accepts requests at once and replies after some seconds."""
 
     def deliver(request):
-        drawer.handle_acceptance(DrawAccepted(request.request_id))
+        coordinator.handle_acceptance(DrawAccepted(request.request_id))
         eventlet.sleep(seconds)
-        drawer.handle_reply(DrawReply(request.request_id, books))
+        coordinator.handle_reply(DrawReply(request.request_id, books))
 
     link.deliver = deliver
 
 
 def test_accepted_request_waits_for_a_writer_with_a_slow_store(world):
-    drawer, peers, link, books = world
+    coordinator, peers, link, books = world
     peers.record_heartbeat(beat("m0"), 0.0)
-    slow_writer(drawer, link, 0.2, {"b": DrawResult(drawn=9)})
-    assert drawer.draw_for_holder(ORDERS).unwrap()["b"].drawn == 9
+    slow_writer(coordinator, link, 0.2, {"b": DrawResult(drawn=9)})
+    assert coordinator.draw_for_holder(ORDERS).unwrap()["b"].drawn == 9
     assert books.written == []
 
 
 def test_writer_whose_write_failed_is_avoided(world):
-    drawer, peers, link, books = world
+    coordinator, peers, link, books = world
     peers.record_heartbeat(beat("m0"), 0.0)
-    slow_writer(drawer, link, 0.0, None)
-    assert drawer.draw_for_holder(ORDERS).unwrap()["b"].drawn == 5
-    drawer.draw_for_holder(ORDERS)
+    slow_writer(coordinator, link, 0.0, None)
+    assert coordinator.draw_for_holder(ORDERS).unwrap()["b"].drawn == 5
+    coordinator.draw_for_holder(ORDERS)
     assert (len(link.sent), len(books.written)) == (1, 2)
 
 
 def test_writer_accepts_before_it_writes_and_reports_a_failure(world):
-    drawer, _, link, books = world
+    coordinator, _, link, books = world
     books.draw_for_holder = lambda orders: Failure(PlatformUnavailable("down"))
-    drawer.handle_draw_request(DrawRequest(3, ORDERS), ("m1", 1))
+    coordinator.handle_draw_request(DrawRequest(3, ORDERS), ("m1", 1))
     assert link.sent == [DrawAccepted(3), DrawReply(3, None)]
 
 
 def test_instance_with_low_bandwidth_does_not_write_for_others(world):
-    drawer, peers, link, books = world
+    coordinator, peers, link, books = world
     peers.record_heartbeat(beat("m0", bandwidth=LOW_BANDWIDTH), 0.0)
-    drawer.draw_for_holder(ORDERS)
+    coordinator.draw_for_holder(ORDERS)
     assert (link.sent, books.written) == ([], [ORDERS])
 
 
 def test_no_instance_writes_concurrently_with_a_slow_writer(world, monkeypatch):
     """Concurrent writes would conflict with those of a slow writer and slow it down further."""
     monkeypatch.setattr("whinrack.gossip._draw_coordinator._WRITE_TIMEOUT_SECONDS", 0.05)
-    drawer, peers, link, books = world
+    coordinator, peers, link, books = world
     peers.record_heartbeat(beat("m0"), 0.0)
-    slow_writer(drawer, link, 0.2, {"b": DrawResult(drawn=9)})
-    assert isinstance(drawer.draw_for_holder(ORDERS), Failure)
+    slow_writer(coordinator, link, 0.2, {"b": DrawResult(drawn=9)})
+    assert isinstance(coordinator.draw_for_holder(ORDERS), Failure)
     assert books.written == []
 
 
 def test_writer_releases_tokens_of_earlier_runs_of_other_instances(world):
-    drawer, peers, link, books = world
+    coordinator, peers, link, books = world
     peers.record_heartbeat(beat("m0"), 0.0)
-    link.deliver = lambda request: drawer.handle_reply(ReleaseReply(request.request_id, [ROW]))
-    assert drawer.release_runs("a", RELEASE).unwrap() == [ROW]
+    link.deliver = lambda request: coordinator.handle_reply(ReleaseReply(request.request_id, [ROW]))
+    assert coordinator.release_runs("a", RELEASE).unwrap() == [ROW]
     assert (link.sent, books.written) == ([ReleaseRequest(1, "a", RELEASE)], [])
 
 
 def test_instance_releases_tokens_by_itself_without_another_writer(world):
-    drawer, _, link, books = world
-    assert drawer.release_runs("a", RELEASE).unwrap() == [ROW]
+    coordinator, _, link, books = world
+    assert coordinator.release_runs("a", RELEASE).unwrap() == [ROW]
     assert (link.sent, books.written) == ([], [RELEASE])
 
 
 def test_writer_reports_what_it_released_for_a_peer(world):
-    drawer, _, link, _ = world
-    drawer.handle_release_request(ReleaseRequest(4, "a", RELEASE), ("m1", 1))
+    coordinator, _, link, _ = world
+    coordinator.handle_release_request(ReleaseRequest(4, "a", RELEASE), ("m1", 1))
     assert link.sent == [DrawAccepted(4), ReleaseReply(4, [ROW])]
--- a/whinrack/gossip/tests/test_peers.py
+++ b/whinrack/gossip/tests/test_peers.py
@@ -214,8 +214,8 @@
         assert len(peers.take_states_to_pass_on(0.0)) == 20
     assert peers.take_states_to_pass_on(0.0) == []
     peers.record_heartbeat(beat(name="p7", port=7, sequence=2, ready=False), 0.1)
-    (news,) = peers.take_states_to_pass_on(0.1)
-    assert (news.sender.name, news.ready) == ("p7", False)
+    (changed,) = peers.take_states_to_pass_on(0.1)
+    assert (changed.sender.name, changed.ready) == ("p7", False)
 
 
 def test_heartbeats_of_a_large_fleet_go_to_all_peers_in_turn():
@@ -268,8 +268,8 @@
 
 def test_all_other_halls_get_heartbeats_in_turn():
     peers = fleet_in_halls(of_each=10)
-    far = [address for _ in range(40) for address in peers.next_receivers(0.0).other_halls]
-    assert len(set(far)) == 40
+    receivers = [address for _ in range(40) for address in peers.next_receivers(0.0).other_halls]
+    assert len(set(receivers)) == 40
 
 
 def test_only_instance_of_a_hall_sends_all_heartbeats_to_other_halls():
@@ -292,8 +292,8 @@
     peers = fleet_in_halls()
     assert len(peers.ages(0.0)) == 100
     assert len(peers.ages(0.0, own_hall_only=True)) == 20
-    told = peers.own_hall_only(peers.live_states(0.0))
-    assert {state.data_hall for state in told} == {"h0"}
+    included = peers.own_hall_only(peers.live_states(0.0))
+    assert {state.data_hall for state in included} == {"h0"}
 
 
 def test_states_reach_all_of_a_large_fleet_within_a_few_rounds():
@@ -312,11 +312,11 @@
         for number, peers in enumerate(tables):
             message = _beat_of(peers, number, 2 * turn, now)
             for address in addresses_of(peers, now):
-                heard, other = by_address[address], address[1]
-                if heard.record_heartbeat(message, now) or message.requests_states:
+                receiver, receiver_number = by_address[address], address[1]
+                if receiver.record_heartbeat(message, now) or message.requests_states:
                     # An unknown sender gets an immediate answer.
                     peers.record_heartbeat(
-                        _beat_of(heard, other, 2 * turn + 1, now, whole=True), now
+                        _beat_of(receiver, receiver_number, 2 * turn + 1, now, whole=True), now
                     )
         fewest_live.append(min(peers.count_live_instances(now) for peers in tables))
     assert fewest_live[8] == size
@@ -339,8 +339,8 @@
         for number, peers in enumerate(tables):
             message = _beat_of(peers, number, 2 * turn, now)
             ready = number != 0
-            told = msgspec.structs.replace(message.state, sequence=1 if ready else 2, ready=ready)
-            message = msgspec.structs.replace(message, state=told)
+            own = msgspec.structs.replace(message.state, sequence=1 if ready else 2, ready=ready)
+            message = msgspec.structs.replace(message, state=own)
             for address in addresses_of(peers, now):
                 by_address[address].record_heartbeat(message, now)
     behind = [n for n in range(1, size) if view_of(tables[n], "p0", 5.0).state.ready]
@@ -366,7 +366,7 @@
     All of a hundred instances in five halls must become live at each other and stay so.
     """
     size, halls = 100, 5
-    lost = random.Random(1)
+    loss = random.Random(1)
     tables = [PeerTable(f"p{n}", 0.9, 60.0, seed=n, data_hall=f"h{n % halls}") for n in range(size)]
     for peers in tables:
         peers.add_addresses([("127.0.0.1", 0), ("127.0.0.1", 1), ("127.0.0.1", 2)], 0.0)
@@ -375,11 +375,11 @@
         now = turn * 0.5
         for number in range(size):
             for address, message in _messages(tables[number], number, 2 * turn, now):
-                if lost.random() < 0.05 or address[1] == number:
+                if loss.random() < 0.05 or address[1] == number:
                     continue
-                hearer = tables[address[1]]
-                if hearer.record_heartbeat(message, now) or message.requests_states:
-                    whole = _beat_of(hearer, address[1], 2 * turn + 1, now, whole=True)
+                receiver = tables[address[1]]
+                if receiver.record_heartbeat(message, now) or message.requests_states:
+                    whole = _beat_of(receiver, address[1], 2 * turn + 1, now, whole=True)
                     tables[number].record_heartbeat(whole, now)
         fewest_live.append(min(peers.count_live_instances(now) for peers in tables))
     assert fewest_live[7] == size
@@ -395,8 +395,8 @@
         ages=peers.ages(now, own_hall_only=True),
     )
     receivers = peers.next_receivers(now)
-    near = [(address, message) for address in receivers.own_hall]
-    return near + [(address, brief) for address in receivers.other_halls]
+    own_hall = [(address, message) for address in receivers.own_hall]
+    return own_hall + [(address, brief) for address in receivers.other_halls]
 
 
 def test_ended_instance_is_soon_offered_by_no_other_instance():
@@ -422,12 +422,12 @@
                 continue
             message = _beat_of(peers, number, 2 * turn, now)
             for address in addresses_of(peers, now):
-                hearer, other = tables[address[1]], address[1]
-                if other == ended:
+                receiver, receiver_number = tables[address[1]], address[1]
+                if receiver_number == ended:
                     continue
-                if hearer.record_heartbeat(message, now) or message.requests_states:
+                if receiver.record_heartbeat(message, now) or message.requests_states:
                     peers.record_heartbeat(
-                        _beat_of(hearer, other, 2 * turn + 1, now, whole=True), now
+                        _beat_of(receiver, receiver_number, 2 * turn + 1, now, whole=True), now
                     )
     offering = [
         number
--- a/whinrack/gossip/tests/test_token_source.py
+++ b/whinrack/gossip/tests/test_token_source.py
@@ -50,47 +50,47 @@
     )
 
 
-def peers_asked_to_lend(world, *beats):
-    spares, peers, link = world
+def peers_asked_to_draw(world, *beats):
+    source, peers, link = world
     for heartbeat in beats:
         peers.record_heartbeat(heartbeat, 0.0)
-    spares.request_peer_draw(BUDGET, 10, 0, {})
+    source.request_peer_draw(BUDGET, 10, 0, {})
     return link.asked
 
 
-def test_one_peer_that_reaches_the_store_is_asked_to_lend(world):
-    asked = peers_asked_to_lend(
+def test_one_peer_that_reaches_the_store_is_asked_to_draw(world):
+    asked = peers_asked_to_draw(
         world, beat("b", store_answers=False), beat("c"), beat("d", ready=False)
     )
     assert asked == ["c"]
 
 
-def test_stopping_peer_lends_if_no_other_reaches_the_store(world):
-    asked = peers_asked_to_lend(world, beat("b", store_answers=False), beat("d", ready=False))
+def test_stopping_peer_draws_if_no_other_reaches_the_store(world):
+    asked = peers_asked_to_draw(world, beat("b", store_answers=False), beat("d", ready=False))
     assert asked == ["d"]
 
 
 def test_no_peer_is_asked_if_none_reaches_the_store(world):
-    assert peers_asked_to_lend(world, beat("b", store_answers=False)) == []
+    assert peers_asked_to_draw(world, beat("b", store_answers=False)) == []
 
 
 def test_only_peers_that_hold_tokens_are_asked_in_a_large_fleet():
     peers, link = PeerTable("me", 1.0, 10.0), Link()
     for number in range(30):
         peers.record_heartbeat(beat(f"p{number}", holds_tokens=number < 3), steady())
-    spares = GossipTokenSource(
+    source = GossipTokenSource(
         "me.1", link, peers, reply_timeout=0.0, own_state=lambda: beat("me").state
     )
-    spares.request_from_peers(BUDGET, 1, 0, {})
+    source.request_from_peers(BUDGET, 1, 0, {})
     assert sorted(link.asked) == ["p0", "p1", "p2"]
-    assert spares.peer_count() == 3
+    assert source.peer_count() == 3
 
 
 def suppliers_asked(world, budget, *beats):
-    spares, peers, link = world
+    source, peers, link = world
     for heartbeat in beats:
         peers.record_heartbeat(heartbeat, 0.0)
-    spares.request_from_supplier(budget, 10, 0, {})
+    source.request_from_supplier(budget, 10, 0, {})
     return link.asked
 
 
@@ -108,8 +108,8 @@
 def test_supplier_that_does_not_reply_is_replaced(world):
     (budget, *_) = budgets_of("c", ["a", "b", "c"])
     suppliers_asked(world, budget, beat("b"), beat("c"))
-    left = rendezvous(f"supply/{budget}", ["a", "b"])[0]
-    assert world[0].is_supplier(budget) == (left == "a")
+    replacement = rendezvous(f"supply/{budget}", ["a", "b"])[0]
+    assert world[0].is_supplier(budget) == (replacement == "a")
 
 
 def test_the_supplier_itself_asks_no_peer(world):
@@ -128,11 +128,11 @@
 
 
 def test_instances_with_low_bandwidth_are_no_suppliers(world):
-    spares, peers, _ = world
+    source, peers, _ = world
     for name, bandwidth in (("b", 5.0), ("c", 100.0), ("d", 100.0)):
         peers.record_heartbeat(beat(name, bandwidth=bandwidth), 0.0)
-    spares.own_state = lambda: beat("a", bandwidth=5.0).state
-    assert {spares.supplier(f"b{number}") for number in range(20)} == {"c", "d"}
+    source.own_state = lambda: beat("a", bandwidth=5.0).state
+    assert {source.supplier(f"b{number}") for number in range(20)} == {"c", "d"}
 
 
 def test_supplier_name_for_logs(world):
--- a/whinrack/gossip/tests/test_versions.py
+++ b/whinrack/gossip/tests/test_versions.py
@@ -27,13 +27,13 @@
 
     state: PeerState
     number: int = 0
-    wall: float = 0.0
-    leaving: list[str] = []
-    gone: list[list] = []
+    wall_time: float = 0.0
+    leaving_targets: list[str] = []
+    removed_targets: list[list] = []
     peers: list[PeerAddress] = []
     passed_on: list[PeerState] = []
     ages: dict[int, int] = {}
-    asks_for_states: bool = False
+    requests_states: bool = False
 
 
 def test_earlier_version_decodes_a_later_heartbeat():
@@ -46,12 +46,12 @@
         emptied_halls=[HallStatus("z", 4, True)],
     )
     read = msgspec.msgpack.decode(msgspec.msgpack.encode(beat), type=EarlierHeartbeat)
-    assert (read.number, read.leaving) == (3, ["t"])
+    assert (read.number, read.leaving_targets) == (3, ["t"])
 
 
 def test_later_version_decodes_an_earlier_heartbeat():
     assert len(EarlierHeartbeat.__struct_fields__) == _EARLIER_FIELDS
-    beat = EarlierHeartbeat(state=STATE, number=3, leaving=["t"])
+    beat = EarlierHeartbeat(state=STATE, number=3, leaving_targets=["t"])
     read = msgspec.msgpack.decode(msgspec.msgpack.encode(beat), type=Message)
     assert (read.leaving_targets, read.leaving_start_times, read.suspects_checksum) == (
         ["t"],
--- a/whinrack/quarantine/_case_store.py
+++ b/whinrack/quarantine/_case_store.py
@@ -74,7 +74,7 @@
         """
         claimed = False
 
-        def take(old: msgspec.Raw | None) -> msgspec.Raw | None:
+        def claim(old: msgspec.Raw | None) -> msgspec.Raw | None:
             nonlocal claimed
             known = _decode_by_fingerprint(old).get(case.fingerprint)
             present = case if known is None else merge_evidence(known, case)
@@ -82,20 +82,20 @@
             claimed = seconds_until_trial(present, now) == 0.0
             return self._merge_into(old, (present.with_trial(now),)) if claimed else None
 
-        return self._editor.apply(_NAME, take).map(lambda _: claimed)
+        return self._editor.apply(_NAME, claim).map(lambda _: claimed)
 
     def _merge_into(self, old: msgspec.Raw | None, cases: tuple[Case, ...]) -> msgspec.Raw | None:
         """Return the stored value with cases merged into it, or None if they change nothing."""
-        joined = _decode_by_fingerprint(old)
+        merged = _decode_by_fingerprint(old)
         for case in cases:
-            known = joined.get(case.fingerprint)
-            joined[case.fingerprint] = case if known is None else merge_evidence(known, case)
-        if joined == _decode_by_fingerprint(old):
+            known = merged.get(case.fingerprint)
+            merged[case.fingerprint] = case if known is None else merge_evidence(known, case)
+        if merged == _decode_by_fingerprint(old):
             return None
         since = self.wall_clock() - SUSPECT_LIFETIME_SECONDS
-        kept = [case for case in joined.values() if case.ended_at >= since]
-        kept.sort(key=lambda case: (len(case.ends), case.ended_at), reverse=True)
-        return msgspec.Raw(msgspec.json.encode(StoredCases(tuple(kept[:MAX_SUSPECTS]))))
+        retained = [case for case in merged.values() if case.ended_at >= since]
+        retained.sort(key=lambda case: (len(case.ends), case.ended_at), reverse=True)
+        return msgspec.Raw(msgspec.json.encode(StoredCases(tuple(retained[:MAX_SUSPECTS]))))
 
 
 def _decode_cases(stored: msgspec.Raw | None) -> tuple[Case, ...]:
--- a/whinrack/store/tests/test_adaptive_timeout.py
+++ b/whinrack/store/tests/test_adaptive_timeout.py
@@ -4,14 +4,14 @@
 
 from whinrack.store import AdaptiveTimeout
 
-_QUICK = 0.004
+_FAST = 0.004
 # Response time of the slow store in the simulated days.
 _SLOW = 0.39
 # Longer than any response time in the simulated days.
 _SLOWER = 0.7
 
 
-def taught(seconds, count=50):
+def timeout_after(seconds, count=50):
     timeout = AdaptiveTimeout()
     for _ in range(count):
         timeout.record_response(seconds)
@@ -19,18 +19,18 @@
 
 
 def test_timeout_is_minimal_while_answers_are_fast():
-    assert AdaptiveTimeout().seconds == taught(_QUICK).seconds == 0.5
+    assert AdaptiveTimeout().seconds == timeout_after(_FAST).seconds == 0.5
 
 
 def test_timeout_covers_a_store_that_becomes_slow():
-    timeout = taught(_QUICK)
+    timeout = timeout_after(_FAST)
     for _ in range(50):
         assert timeout.seconds > _SLOW
         timeout.record_response(_SLOW)
 
 
 def test_timeout_covers_a_slower_store_after_the_first_lost_answer():
-    timeout = taught(_QUICK)
+    timeout = timeout_after(_FAST)
     assert timeout.seconds < _SLOWER
     timeout.record_timeout()
     for _ in range(50):
@@ -39,19 +39,19 @@
 
 
 def test_timeout_returns_to_the_minimum_after_an_outage():
-    timeout = taught(_QUICK)
+    timeout = timeout_after(_FAST)
     for _ in range(5000):
         timeout.record_timeout()
     assert timeout.seconds == 0.8
-    timeout.record_response(_QUICK)
+    timeout.record_response(_FAST)
     assert timeout.seconds == pytest.approx(0.5)
 
 
 def test_answer_of_unknown_response_time_only_ends_the_backoff():
-    timeout = taught(_SLOWER)
+    timeout = timeout_after(_SLOWER)
     usual = timeout.seconds
     timeout.record_timeout()
     timeout.record_response_within(2 * _SLOWER)
     assert timeout.seconds > usual
-    timeout.record_response_within(_QUICK)
+    timeout.record_response_within(_FAST)
     assert timeout.seconds == usual
--- a/whinrack/store/tests/test_connections.py
+++ b/whinrack/store/tests/test_connections.py
@@ -14,7 +14,7 @@
 
 _TIMEOUT = urllib3.Timeout(connect=1.0, read=0.2)
 _REPLY = b"HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok"
-_KEPT = 4
+_MAX_IDLE = 4
 
 
 class Server:
@@ -57,15 +57,15 @@
 @pytest.fixture
 def connections(server):
     """Return a client with several open idle connections."""
-    kept = StoreConnections(server.address, _KEPT)
-    pool = kept._pool
-    taken = [pool._get_conn() for _ in range(_KEPT)]
-    for connection in taken:
+    client = StoreConnections(server.address, _MAX_IDLE)
+    pool = client._pool
+    opened = [pool._get_conn() for _ in range(_MAX_IDLE)]
+    for connection in opened:
         connection.connect()
         pool._put_conn(connection)
-    while len(server.sockets) < _KEPT:
+    while len(server.sockets) < _MAX_IDLE:
         time.sleep(0.01)
-    return kept
+    return client
 
 
 def test_next_call_after_a_lost_reply_opens_a_new_connection(server, connections):
@@ -81,12 +81,14 @@
     server.silence_open()
     connections.call("GET", "/", _TIMEOUT)
     results = []
-    threads = [threading.Thread(target=_call, args=(connections, results)) for _ in range(_KEPT)]
+    threads = [
+        threading.Thread(target=_call, args=(connections, results)) for _ in range(_MAX_IDLE)
+    ]
     for thread in threads:
         thread.start()
     for thread in threads:
         thread.join()
-    assert [type(result) for result in results] == [Success] * _KEPT
+    assert [type(result) for result in results] == [Success] * _MAX_IDLE
 
 
 def test_write_with_a_lost_reply_has_an_unknown_outcome(server, connections):
--- a/whinrack/store/tests/test_era.py
+++ b/whinrack/store/tests/test_era.py
@@ -4,40 +4,40 @@
 
 
 def observed(*texts):
-    era, told = StoreEra(), []
-    era.listeners.append(told.append)
-    return era, told, [era.observe(text) for text in texts]
+    era, changes = StoreEra(), []
+    era.listeners.append(changes.append)
+    return era, changes, [era.observe(text) for text in texts]
 
 
 def test_later_era_is_reported_once():
-    era, told, belongs = observed("1", "1", "2", " 2 ", "4")
-    assert belongs == [1, 1, 2, 2, 4]
-    assert told == [EraChange(None, 1), EraChange(1, 2), EraChange(2, 4)]
+    era, changes, eras = observed("1", "1", "2", " 2 ", "4")
+    assert eras == [1, 1, 2, 2, 4]
+    assert changes == [EraChange(None, 1), EraChange(1, 2), EraChange(2, 4)]
     assert era.current == 4
 
 
 def test_first_era_of_0_is_reported():
-    _, told, _ = observed("0", "0", "1")
-    assert told == [EraChange(None, 0), EraChange(0, 1)]
+    _, changes, _ = observed("0", "0", "1")
+    assert changes == [EraChange(None, 0), EraChange(0, 1)]
 
 
 def test_late_answer_of_an_earlier_era_changes_nothing():
-    era, told, belongs = observed("3", "2")
-    assert belongs == [3, 2]
-    assert (era.current, era.late_answers, len(told)) == (3, 1, 1)
+    era, changes, eras = observed("3", "2")
+    assert eras == [3, 2]
+    assert (era.current, era.late_answers, len(changes)) == (3, 1, 1)
 
 
 def test_answer_without_a_valid_era_belongs_to_the_current_one():
     odd = (None, "", "abc", "-1", "1.5", "nan", "²", "9" * 400, "1048576")
-    era, told, belongs = observed("2", *odd)
-    assert belongs == [2] * (1 + len(odd))
-    assert (era.current, era.unreadable_answers, len(told)) == (2, len(odd) - 1, 1)
+    era, changes, eras = observed("2", *odd)
+    assert eras == [2] * (1 + len(odd))
+    assert (era.current, era.unreadable_answers, len(changes)) == (2, len(odd) - 1, 1)
 
 
 def test_era_received_from_a_peer_is_reported_once():
-    era, told, _ = observed("1")
+    era, changes, _ = observed("1")
     era.advance_to(2)
     era.observe("2")
     era.advance_to(1)
     assert (era.current, era.late_answers) == (2, 0)
-    assert told == [EraChange(None, 1), EraChange(1, 2)]
+    assert changes == [EraChange(None, 1), EraChange(1, 2)]
