--- a/whinrack/gossip/_link.py
+++ b/whinrack/gossip/_link.py
@@ -27,7 +27,7 @@
 
     Attributes
     ----------
-    malformed : int
+    malformed_count : int
         Received datagrams that could not be decoded as a `Message` and were dropped.
     """
 
--- a/whinrack/gossip/_peers.py
+++ b/whinrack/gossip/_peers.py
@@ -158,8 +158,8 @@
             addresses = (state.sender.address for state in beat.passed_on)
             self.add_addresses(addresses, now)
         else:
-            # The sender reports more peers than a full mesh has, so the fleet is large even if
-            # this instance does not know the others yet.
+            # The fleet is large: this instance knows more peers than a full mesh has, or the sender
+            # reports more.
             self._merge_reported_peers(beat, now)
         return is_new
 
--- a/whinrack/quarantine/_attribution.py
+++ b/whinrack/quarantine/_attribution.py
@@ -20,7 +20,7 @@
 def find_culprits(cases: Iterable[Case]) -> frozenset[str]:
     """Return the fingerprints of the requests that are to blame.
 
-    Requests with the same number of unexplained ends are blamed together: a wrongly blamed
+    If several requests have the most unexplained ends, all of them are blamed: a wrongly blamed
     request is cleared by its next trial run, while the end of a target interrupts all requests on
     it.
     """
--- a/whinrack/quarantine/_case_store.py
+++ b/whinrack/quarantine/_case_store.py
@@ -65,12 +65,12 @@
         """Claim the next trial run of a quarantined request for this instance.
 
         Only one instance can claim it, because the write is conditional on the version that was
-        read. A trial whose write got no reply counts as claimed by another instance.
+        read. A trial whose write got no reply counts as used, and no instance runs it.
 
         Returns
         -------
         Result of bool
-            False if no trial is due, or another instance has claimed it.
+            False if no trial is due, if another instance has claimed it, or if the reply was lost.
         """
         claimed = False
 
--- a/whinrack/store/_era.py
+++ b/whinrack/store/_era.py
@@ -37,9 +37,9 @@
         The era, 0 until an answer has named one.
     late_answers : int
         Number of answers from an era before the current one.
-    unreadable : int
+    unreadable_answers : int
         Number of answers whose era could not be parsed.
-    changed : list of callable
+    listeners : list of callable
         Called with each `EraChange`.
     """
 
--- a/whinrack/store/_metered.py
+++ b/whinrack/store/_metered.py
@@ -31,7 +31,7 @@
         "get books".
     bytes : Counter
         Bytes of the objects' values that were sent or received, by operation.
-    answered_at : float
+    last_answer_at : float
         Steady clock at the last answer of the store, including "not found" and conflicts.
     last_failure : str
         The last operation that failed, and the reason.
