--- a/whinrack/quarantine/tests/test_attribution.py
+++ b/whinrack/quarantine/tests/test_attribution.py
@@ -32,18 +32,18 @@
     assert find_culprits([case("one", "abc"), case("two", "abc")]) == {"one", "two"}
 
 
-def storm(seed, targets=6, callers=40, ends=8):
+def simulate_ends(seed, targets=6, callers=40, ends=8):
     """Return the cases after a culprit ended some targets; interrupted requests are repeated."""
     chance = random.Random(seed)
     ends_of = {f"innocent-{number}": set() for number in range(callers)} | {"culprit": set()}
     for end in range(ends):
-        place = chance.randrange(targets)
+        ended_target = chance.randrange(targets)
         for name, seen in ends_of.items():
-            if name == "culprit" or (len(seen) < 4 and chance.randrange(targets) == place):
+            if name == "culprit" or (len(seen) < 4 and chance.randrange(targets) == ended_target):
                 seen.add(str(end))
     return [case(name, sorted(seen)) for name, seen in ends_of.items()]
 
 
 def test_only_the_culprit_is_blamed_when_interrupted_requests_are_repeated():
-    wrong = [seed for seed in range(200) if find_culprits(storm(seed)) != {"culprit"}]
+    wrong = [seed for seed in range(200) if find_culprits(simulate_ends(seed)) != {"culprit"}]
     assert wrong == []
