--- a/whinrack/gossip/tests/test_versions.py
+++ b/whinrack/gossip/tests/test_versions.py
@@ -1,4 +1,4 @@
-"""Instances of two versions understand each other during a rolling restart."""
+"""Tests that heartbeats of two versions are compatible during a rolling restart."""
 
 import msgspec
 import pytest
@@ -18,25 +18,25 @@
     load=0,
     configuration=1,
 )
-# Fields that a heartbeat had before those of the quarantine and of the starts were added.
+# Fields of a heartbeat before those of the quarantine and the start times were added.
 _EARLIER_FIELDS = 9
 
 
 class EarlierHeartbeat(msgspec.Struct, frozen=True, array_like=True, tag="beat", kw_only=True):
-    """A heartbeat as an instance of the version before knows it."""
+    """Heartbeat as the previous version defines it."""
 
     state: PeerState
     number: int = 0
-    wall: float = 0.0
-    leaving: list[str] = []
-    gone: list[list] = []
+    wall_time: float = 0.0
+    leaving_targets: list[str] = []
+    removed_targets: list[list] = []
     peers: list[PeerAddress] = []
     passed_on: list[PeerState] = []
     ages: dict[int, int] = {}
-    asks_for_states: bool = False
+    requests_states: bool = False
 
 
-def test_a_later_heartbeat_is_read_by_an_earlier_version():
+def test_earlier_version_decodes_a_later_heartbeat():
     beat = Heartbeat(
         state=STATE,
         number=3,
@@ -46,12 +46,12 @@
         emptied_halls=[HallStatus("z", 4, True)],
     )
     read = msgspec.msgpack.decode(msgspec.msgpack.encode(beat), type=EarlierHeartbeat)
-    assert (read.number, read.leaving) == (3, ["t"])
+    assert (read.number, read.leaving_targets) == (3, ["t"])
 
 
-def test_an_earlier_heartbeat_is_read_by_a_later_version():
+def test_later_version_decodes_an_earlier_heartbeat():
     assert len(EarlierHeartbeat.__struct_fields__) == _EARLIER_FIELDS
-    beat = EarlierHeartbeat(state=STATE, number=3, leaving=["t"])
+    beat = EarlierHeartbeat(state=STATE, number=3, leaving_targets=["t"])
     read = msgspec.msgpack.decode(msgspec.msgpack.encode(beat), type=Message)
     assert (read.leaving_targets, read.leaving_start_times, read.suspects_checksum) == (
         ["t"],
@@ -61,13 +61,13 @@
     assert read.emptied_halls == []
 
 
-def test_words_on_halls_travel_with_a_heartbeat():
-    words = [HallStatus("z", 4, True), HallStatus("odd \u20ac\u0001", 9, False)]
-    beat = Heartbeat(state=STATE, emptied_halls=words)
-    assert msgspec.msgpack.decode(msgspec.msgpack.encode(beat), type=Message).emptied_halls == words
+def test_emptied_halls_survive_encoding():
+    halls = [HallStatus("z", 4, True), HallStatus("odd \u20ac\u0001", 9, False)]
+    beat = Heartbeat(state=STATE, emptied_halls=halls)
+    assert msgspec.msgpack.decode(msgspec.msgpack.encode(beat), type=Message).emptied_halls == halls
 
 
-def test_a_message_that_an_earlier_version_does_not_know_is_none_of_its_own():
+def test_earlier_version_rejects_an_unknown_kind_of_message():
     message = SuspectCases("a", [Case(fingerprint="f")])
     with pytest.raises(msgspec.ValidationError):
         msgspec.msgpack.decode(msgspec.msgpack.encode(message), type=EarlierHeartbeat)
--- a/whinrack/quarantine/_case_store.py
+++ b/whinrack/quarantine/_case_store.py
@@ -1,4 +1,4 @@
-"""Keeps the suspects in the platform's store, so that they outlast a kill of all instances."""
+"""Storage of suspect cases in the platform's store, which survives a kill of all instances."""
 
 from collections.abc import Callable, Iterable
 
@@ -7,8 +7,8 @@
 
 from whinrack.exceptions import NotFound, PlatformFailure
 from whinrack.observability import Event, log_event
-from whinrack.quarantine._cases import Case, merged
-from whinrack.quarantine._table import KEPT_SECONDS, MOST_SUSPECTS
+from whinrack.quarantine._cases import Case, merge_evidence
+from whinrack.quarantine._table import MAX_SUSPECTS, SUSPECT_LIFETIME_SECONDS
 from whinrack.quarantine._trials import seconds_until_trial
 from whinrack.store import ObjectEditor, ObjectStore
 
@@ -16,77 +16,90 @@
 
 _KIND = "Quarantine"
 _NAME = "main"
-# Tries of one write; what fails is tried again with the next change.
-_WRITES = 4
+# Attempts of one write; after a failure the next change tries again.
+_WRITE_ATTEMPTS = 4
 
 
 class StoredCases(msgspec.Struct, frozen=True):
-    """The object's value: suspects, those with most ends first."""
+    """Value of the stored object: suspect cases, those with the most ends first."""
 
     cases: tuple[Case, ...] = ()
 
 
 class CaseStore:
-    """One object with all suspects; it is written only when a second target ends, or a later one.
+    """Reads and writes the object that holds all suspect cases.
+
+    It is written only after the second or a later end of a target under the same request.
 
     Parameters
     ----------
     store : ObjectStore
     wall_clock : callable
-        Returns the Unix time, seconds.
+        Returns the Unix time in seconds.
     """
 
     def __init__(self, store: ObjectStore, wall_clock: Callable[[], float]):
         self.wall_clock = wall_clock
-        self._editor = ObjectEditor(store, _KIND, msgspec.Raw, attempts=_WRITES)
+        self._editor = ObjectEditor(store, _KIND, msgspec.Raw, attempts=_WRITE_ATTEMPTS)
 
     def read(self) -> Result[tuple[Case, ...], PlatformFailure]:
         """Read the stored cases."""
-        result = self._editor.read(_NAME).map(_cases)
+        result = self._editor.read(_NAME).map(_decode_cases)
         if isinstance(result, Failure) and isinstance(result.failure(), NotFound):
             return Success(())
         return result
 
     def write(self, cases: Iterable[Case]) -> Result[tuple[Case, ...], PlatformFailure]:
-        """Merge cases into the stored ones; returns what is stored then."""
-        told = tuple(cases)
-        result = self._editor.apply(_NAME, lambda old: self._joined(old, told))
-        return result.map(_cases)
+        """Merge cases into the stored ones.
+
+        Returns
+        -------
+        Result of tuple of Case
+            The cases that are stored after the write.
+        """
+        new_cases = tuple(cases)
+        result = self._editor.apply(_NAME, lambda old: self._merge_into(old, new_cases))
+        return result.map(_decode_cases)
 
     def claim_trial(self, case: Case) -> Result[bool, PlatformFailure]:
-        """Take the next trial of a request for this instance; False if it isn't due.
+        """Claim the next trial run of a quarantined request for this instance.
+
+        Only one instance can claim it, because the write is conditional on the version that was
+        read. A trial whose write got no reply counts as used, and no instance runs it.
 
-        Only one instance gets it: the write is conditional on what was read. A trial whose write
-        has no answer counts as taken.
+        Returns
+        -------
+        Result of bool
+            False if no trial is due, if another instance has claimed it, or if the reply was lost.
         """
         claimed = False
 
-        def take(old: msgspec.Raw | None) -> msgspec.Raw | None:
+        def claim(old: msgspec.Raw | None) -> msgspec.Raw | None:
             nonlocal claimed
-            known = _by_fingerprint(old).get(case.fingerprint)
-            present = case if known is None else merged(known, case)
+            known = _decode_by_fingerprint(old).get(case.fingerprint)
+            present = case if known is None else merge_evidence(known, case)
             now = self.wall_clock()
             claimed = seconds_until_trial(present, now) == 0.0
-            return self._joined(old, (present.with_trial(now),)) if claimed else None
+            return self._merge_into(old, (present.with_trial(now),)) if claimed else None
 
-        return self._editor.apply(_NAME, take).map(lambda _: claimed)
+        return self._editor.apply(_NAME, claim).map(lambda _: claimed)
 
-    def _joined(self, old: msgspec.Raw | None, cases: tuple[Case, ...]) -> msgspec.Raw | None:
-        """Return the stored cases with others, None if these change nothing."""
-        joined = _by_fingerprint(old)
+    def _merge_into(self, old: msgspec.Raw | None, cases: tuple[Case, ...]) -> msgspec.Raw | None:
+        """Return the stored value with cases merged into it, or None if they change nothing."""
+        merged = _decode_by_fingerprint(old)
         for case in cases:
-            known = joined.get(case.fingerprint)
-            joined[case.fingerprint] = case if known is None else merged(known, case)
-        if joined == _by_fingerprint(old):
+            known = merged.get(case.fingerprint)
+            merged[case.fingerprint] = case if known is None else merge_evidence(known, case)
+        if merged == _decode_by_fingerprint(old):
             return None
-        since = self.wall_clock() - KEPT_SECONDS
-        kept = [case for case in joined.values() if case.ended_at >= since]
-        kept.sort(key=lambda case: (len(case.ends), case.ended_at), reverse=True)
-        return msgspec.Raw(msgspec.json.encode(StoredCases(tuple(kept[:MOST_SUSPECTS]))))
+        since = self.wall_clock() - SUSPECT_LIFETIME_SECONDS
+        retained = [case for case in merged.values() if case.ended_at >= since]
+        retained.sort(key=lambda case: (len(case.ends), case.ended_at), reverse=True)
+        return msgspec.Raw(msgspec.json.encode(StoredCases(tuple(retained[:MAX_SUSPECTS]))))
 
 
-def _cases(stored: msgspec.Raw | None) -> tuple[Case, ...]:
-    """Read an object's value; one that others spoilt counts as empty, and is written anew."""
+def _decode_cases(stored: msgspec.Raw | None) -> tuple[Case, ...]:
+    """Decode a stored value; an invalid one counts as empty and is overwritten."""
     if stored is None:
         return ()
     try:
@@ -96,5 +109,5 @@
         return ()
 
 
-def _by_fingerprint(stored: msgspec.Raw | None) -> dict[str, Case]:
-    return {case.fingerprint: case for case in _cases(stored)}
+def _decode_by_fingerprint(stored: msgspec.Raw | None) -> dict[str, Case]:
+    return {case.fingerprint: case for case in _decode_cases(stored)}
--- a/whinrack/quarantine/_cases.py
+++ b/whinrack/quarantine/_cases.py
@@ -1,22 +1,23 @@
-"""What is known of one request under which targets ended."""
+"""Evidence against requests during whose runs targets ended."""
 
 import msgspec
 
-__all__ = ["Case", "TargetEnd", "merged"]
+__all__ = ["Case", "TargetEnd", "merge_evidence"]
 
-# Ends that a case holds; a request that has some is sent to no target, so there are few more.
-_MOST_ENDS = 16
+# Maximum number of ends in a case. A quarantined request is not sent to targets, so that few ends
+# follow.
+_MAX_ENDS = 16
 
 
 class TargetEnd(msgspec.Struct, frozen=True, array_like=True, order=True):
-    """The end of one start of a target, however many instances saw it.
+    """End of one run of a target; the same for all instances that observed it.
 
     Attributes
     ----------
     target : str
-        Its name.
+        Name of the target.
     started : int
-        Unix time of that start, milliseconds; 0 if it isn't known.
+        Unix time at which that run started, milliseconds; 0 if unknown.
     """
 
     target: str
@@ -24,24 +25,24 @@
 
 
 class Case(msgspec.Struct, frozen=True, array_like=True, kw_only=True):
-    """The evidence against all requests with one fingerprint.
+    """Evidence against all requests with one fingerprint.
 
-    Two instances' evidence can be put together in any order and any number of times.
+    Merging the evidence of instances is commutative, associative and idempotent.
 
     Attributes
     ----------
     fingerprint, workspace, route : str
-        The request, whose it is, and the route that it came on.
+        The request, its workspace, and the route on which it came.
     epoch : int
-        Grows by one whenever the request is cleared; what was known in an earlier one is void.
+        Incremented whenever the request is cleared; evidence of earlier epochs is void.
     ends : tuple of TargetEnd
-        Targets that ended while they had the request, in order.
+        Targets that ended while they ran the request, in order.
     ended_at : float
-        Unix time of the last of them, seconds.
+        Unix time of the last end, seconds.
     trials : int
-        Runs that were let through although the request was kept out.
+        Trial runs that were admitted while the request was in quarantine.
     tried_at : float
-        Unix time of the last of them, seconds.
+        Unix time of the last trial run, seconds.
     """
 
     fingerprint: str
@@ -54,40 +55,40 @@
     tried_at: float = 0.0
 
     def target_names(self) -> tuple[str, ...]:
-        """Return the targets that ended, as name@start."""
+        """Return the targets that ended, as `name@started`."""
         return tuple(f"{end.target}@{end.started}" for end in self.ends)
 
     def with_end(self, end: TargetEnd, at: float) -> "Case":
-        """Return the case with one more end; the same end once more changes nothing."""
+        """Return the case with an end added; unchanged if it has this end already."""
         if end in self.ends:
             return self
-        ends = _bounded({*self.ends, end})
+        ends = _sorted_and_limited({*self.ends, end})
         return msgspec.structs.replace(self, ends=ends, ended_at=max(at, self.ended_at))
 
     def cleared(self) -> "Case":
-        """Return the case without its evidence."""
+        """Return the case without evidence, in the next epoch."""
         empty = Case(fingerprint=self.fingerprint, workspace=self.workspace, route=self.route)
         return msgspec.structs.replace(empty, epoch=self.epoch + 1, ended_at=self.ended_at)
 
     def with_trial(self, at: float) -> "Case":
-        """Return the case after one more trial."""
+        """Return the case with one more trial run."""
         return msgspec.structs.replace(self, trials=self.trials + 1, tried_at=at)
 
 
-def merged(one: Case, two: Case) -> Case:
-    """Return what two instances know together of the same request."""
-    if one.epoch != two.epoch:
-        return max(one, two, key=lambda case: case.epoch)
+def merge_evidence(first: Case, second: Case) -> Case:
+    """Return the merged evidence of two instances against the same request."""
+    if first.epoch != second.epoch:
+        return max(first, second, key=lambda case: case.epoch)
     return msgspec.structs.replace(
-        one,
-        workspace=one.workspace or two.workspace,
-        route=max(one.route, two.route),
-        ends=_bounded({*one.ends, *two.ends}),
-        ended_at=max(one.ended_at, two.ended_at),
-        trials=max(one.trials, two.trials),
-        tried_at=max(one.tried_at, two.tried_at),
+        first,
+        workspace=first.workspace or second.workspace,
+        route=max(first.route, second.route),
+        ends=_sorted_and_limited({*first.ends, *second.ends}),
+        ended_at=max(first.ended_at, second.ended_at),
+        trials=max(first.trials, second.trials),
+        tried_at=max(first.tried_at, second.tried_at),
     )
 
 
-def _bounded(ends: set[TargetEnd]) -> tuple[TargetEnd, ...]:
-    return tuple(sorted(ends)[:_MOST_ENDS])
+def _sorted_and_limited(ends: set[TargetEnd]) -> tuple[TargetEnd, ...]:
+    return tuple(sorted(ends)[:_MAX_ENDS])
--- a/whinrack/quarantine/_table.py
+++ b/whinrack/quarantine/_table.py
@@ -1,38 +1,40 @@
-"""All cases that this instance knows, within bounds. Decisions only, no I/O."""
+"""Bounded table of the cases that this instance knows; it does no I/O."""
 
 from collections import OrderedDict
 
 import msgspec
 import xxhash
 
-from whinrack.quarantine._attribution import blamed
-from whinrack.quarantine._cases import Case, TargetEnd, merged
-
-__all__ = ["KEPT_SECONDS", "MOST_SUSPECTS", "SUSPICIOUS", "CaseTable"]
-
-# Ends from which on all instances are told of a request.
-SUSPICIOUS = 2
-# Cases with a single end: those that ran on a target that ended, 64 at most an end; about
-# 1 KB each. One caller that varies its requests can take a quarter of the places.
-_MOST_CASES = 4096
-_MOST_OF_A_WORKSPACE = _MOST_CASES // 4
-# Cases that all instances know; some 300 bytes each, so they fit into one object of the store.
-MOST_SUSPECTS = 512
-# A single end is forgotten after so long: a chance one must not wait for the next.
-_SINGLE_SECONDS = 600.0
-# A request that ended no target for so long is forgotten, as the store's room is bounded.
-KEPT_SECONDS = 7 * 86_400.0
-# A success is remembered for so long, and so many of them.
-_SUCCESS_SECONDS = 60.0
-_MOST_SUCCESSES = 4096
+from whinrack.quarantine._attribution import find_culprits
+from whinrack.quarantine._cases import Case, TargetEnd, merge_evidence
+
+__all__ = ["SUSPECT_LIFETIME_SECONDS", "MAX_SUSPECTS", "SUSPECT_THRESHOLD", "CaseTable"]
+
+# Number of ends from which on a request is suspect and its case is sent to all instances.
+SUSPECT_THRESHOLD = 2
+# Maximum number of cases with a single end. Each end adds a case for every request that the
+# target ran, at most 64, of about 1 KB each. A workspace that varies its requests can take a
+# quarter of the places.
+_MAX_SINGLE_END_CASES = 4096
+_MAX_PER_WORKSPACE = _MAX_SINGLE_END_CASES // 4
+# Maximum number of suspect cases; at about 300 bytes each they fit into one object of the store.
+MAX_SUSPECTS = 512
+# Seconds after which a single end expires, so that unrelated ends do not add up.
+_SINGLE_END_LIFETIME_SECONDS = 600.0
+# Seconds without a further end after which a suspect case expires, as space in the store is
+# limited.
+SUSPECT_LIFETIME_SECONDS = 7 * 86_400.0
+# Seconds for which a success is remembered, and the maximum number of remembered ones.
+_SUCCESS_LIFETIME_SECONDS = 60.0
+_MAX_SUCCESSES = 4096
 
 
 class CaseTable:
-    """Cases by fingerprint, and requests that ended well lately."""
+    """Cases by fingerprint, and recent successes of requests."""
 
     def __init__(self):
-        # With one end: by workspace, so that a caller's many cases displace its own.
-        self._single: dict[str, OrderedDict[str, Case]] = {}
+        # Cases with one end by workspace, so that a caller with many cases displaces only its own.
+        self._single_end_cases: dict[str, OrderedDict[str, Case]] = {}
         self._single_count = 0
         self._suspects: dict[str, Case] = {}
         self._successes: OrderedDict[str, float] = OrderedDict()
@@ -42,54 +44,55 @@
     # --- reading -----------------------------------------------------------------
 
     def get(self, fingerprint: str, workspace: str = "") -> Case | None:
-        """Return what is known of a request."""
+        """Return the case of a request, or None."""
         known = self._suspects.get(fingerprint)
         if known is None:
-            known = self._single.get(workspace, {}).get(fingerprint)
+            known = self._single_end_cases.get(workspace, {}).get(fingerprint)
         return known
 
     def suspect_cases(self) -> list[Case]:
-        """Return the cases that all instances are told of, cleared ones included."""
+        """Return the cases that are sent to all instances, including cleared ones."""
         return list(self._suspects.values())
 
     def blamed_fingerprints(self) -> frozenset[str]:
-        """Return the fingerprints of requests that are to be kept out."""
+        """Return the fingerprints of the requests to quarantine."""
         if self._blamed is None:
-            self._blamed = blamed(self._suspects.values())
+            self._blamed = find_culprits(self._suspects.values())
         return self._blamed
 
     def checksum(self) -> int:
-        """Return a number that two instances with the same suspects share; 0 for none."""
+        """Return a checksum of the suspect cases; 0 if there are none."""
         if not self._checksum and self._suspects:
             states = sorted(msgspec.msgpack.encode(case) for case in self._suspects.values())
             self._checksum = xxhash.xxh32_intdigest(b"".join(states))
         return self._checksum
 
-    # --- learning ----------------------------------------------------------------
+    # --- updates -----------------------------------------------------------------
 
     def record_end(self, case: Case, end: TargetEnd, at: float) -> Case:
-        """Take in that a target ended with a request; returns what is known of it now.
+        """Add the end of a target to the case of a request and return the case.
 
         Parameters
         ----------
         case : Case
-            Names the request; its evidence isn't looked at.
+            Identifies the request; its evidence is ignored if a case is known.
+        end : TargetEnd
         at : float
-            Unix time, seconds.
+            Unix time of the end, seconds.
         """
         known = self.get(case.fingerprint, case.workspace) or case
         return self.put(known.with_end(end, at))
 
     def merge(self, case: Case) -> Case:
-        """Take in what a peer or the store knows; returns what is known now."""
+        """Merge a case from a peer or the store and return the merged case."""
         known = self.get(case.fingerprint, case.workspace)
-        return self.put(case if known is None else merged(known, case))
+        return self.put(case if known is None else merge_evidence(known, case))
 
     def put(self, case: Case) -> Case:
-        """Set what is known of a request."""
+        """Replace the case of a request and return it."""
         if case == self.get(case.fingerprint, case.workspace):
             return case
-        if len(case.ends) >= SUSPICIOUS or case.fingerprint in self._suspects:
+        if len(case.ends) >= SUSPECT_THRESHOLD or case.fingerprint in self._suspects:
             self._put_suspect(case)
         elif case.ends:
             self._put_single(case)
@@ -98,69 +101,83 @@
         return case
 
     def clear(self, fingerprint: str, workspace: str = "") -> Case | None:
-        """Drop the evidence against a request; returns its case, None if there was none."""
+        """Clear the evidence against a request; return its case, or None if there was none."""
         known = self.get(fingerprint, workspace)
         if known is None or not known.ends:
             return None
         return self.put(known.cleared())
 
-    def note_success(self, fingerprint: str, now: float) -> None:
-        """Remember by the steady clock that a request ended well."""
+    def record_success(self, fingerprint: str, now: float) -> None:
+        """Remember the success of a request at a time of the steady clock."""
         self._successes[fingerprint] = now
         self._successes.move_to_end(fingerprint)
-        while len(self._successes) > _MOST_SUCCESSES:
+        while len(self._successes) > _MAX_SUCCESSES:
             self._successes.popitem(last=False)
 
-    def succeeded_lately(self, fingerprint: str, now: float) -> bool:
-        """Whether a request ended well within the last minute."""
-        return now - self._successes.get(fingerprint, float("-inf")) <= _SUCCESS_SECONDS
+    def has_recent_success(self, fingerprint: str, now: float) -> bool:
+        """Return whether a request succeeded within the last minute."""
+        return now - self._successes.get(fingerprint, float("-inf")) <= _SUCCESS_LIFETIME_SECONDS
+
+    def remove_expired(self, now: float) -> None:
+        """Remove expired cases.
 
-    def forget(self, now: float) -> None:
-        """Drop what is too old to count, by the Unix time in seconds."""
-        for workspace, own in list(self._single.items()):
-            while own and now - next(iter(own.values())).ended_at > _SINGLE_SECONDS:
-                own.popitem(last=False)
+        Parameters
+        ----------
+        now : float
+            Unix time, seconds.
+        """
+        for workspace, cases in list(self._single_end_cases.items()):
+            while (
+                cases and now - next(iter(cases.values())).ended_at > _SINGLE_END_LIFETIME_SECONDS
+            ):
+                cases.popitem(last=False)
                 self._single_count -= 1
-            if not own:
-                del self._single[workspace]
-        old = [name for name, case in self._suspects.items() if now - case.ended_at > KEPT_SECONDS]
-        for name in old:
+            if not cases:
+                del self._single_end_cases[workspace]
+        expired = [
+            name
+            for name, case in self._suspects.items()
+            if now - case.ended_at > SUSPECT_LIFETIME_SECONDS
+        ]
+        for name in expired:
             del self._suspects[name]
-        if old:
-            self._changed()
+        if expired:
+            self._invalidate_cache()
 
     # --- bounds ------------------------------------------------------------------
 
     def _put_suspect(self, case: Case) -> None:
         self._drop_single(case)
         self._suspects[case.fingerprint] = case
-        while len(self._suspects) > MOST_SUSPECTS:
-            # The one with the fewest ends, and of these the one that is quiet for longest.
-            least = min(self._suspects.values(), key=lambda one: (len(one.ends), one.ended_at))
-            del self._suspects[least.fingerprint]
-        self._changed()
+        while len(self._suspects) > MAX_SUSPECTS:
+            # Evict the case with the fewest ends, of these the one with the oldest last end.
+            weakest = min(self._suspects.values(), key=lambda case: (len(case.ends), case.ended_at))
+            del self._suspects[weakest.fingerprint]
+        self._invalidate_cache()
 
     def _put_single(self, case: Case) -> None:
-        own = self._single.setdefault(case.workspace, OrderedDict())
-        self._single_count += case.fingerprint not in own
-        own[case.fingerprint] = case
-        if len(own) > _MOST_OF_A_WORKSPACE:
+        cases = self._single_end_cases.setdefault(case.workspace, OrderedDict())
+        self._single_count += case.fingerprint not in cases
+        cases[case.fingerprint] = case
+        if len(cases) > _MAX_PER_WORKSPACE:
             self._drop_oldest(case.workspace)
-        elif self._single_count > _MOST_CASES:
-            self._drop_oldest(max(self._single, key=lambda name: len(self._single[name])))
+        elif self._single_count > _MAX_SINGLE_END_CASES:
+            self._drop_oldest(
+                max(self._single_end_cases, key=lambda name: len(self._single_end_cases[name]))
+            )
 
     def _drop_oldest(self, workspace: str) -> None:
-        own = self._single[workspace]
-        own.popitem(last=False)
+        cases = self._single_end_cases[workspace]
+        cases.popitem(last=False)
         self._single_count -= 1
-        if not own:
-            del self._single[workspace]
+        if not cases:
+            del self._single_end_cases[workspace]
 
     def _drop_single(self, case: Case) -> None:
-        own = self._single.get(case.workspace, {})
-        if own.pop(case.fingerprint, None) is not None:
+        cases = self._single_end_cases.get(case.workspace, {})
+        if cases.pop(case.fingerprint, None) is not None:
             self._single_count -= 1
 
-    def _changed(self) -> None:
+    def _invalidate_cache(self) -> None:
         self._blamed = None
         self._checksum = 0
--- a/whinrack/store/_object_editor.py
+++ b/whinrack/store/_object_editor.py
@@ -1,4 +1,4 @@
-"""Read, change, write conditionally, and again until it is certain."""
+"""Conditional read-modify-write of stored objects, repeated until the outcome is certain."""
 
 import random
 import time
@@ -23,31 +23,31 @@
 
 Value = TypeVar("Value", bound=msgspec.Struct)
 
-_FIRST_BACKOFF = 0.02
-_LONGEST_BACKOFF = 0.5
-_MOST_COPIES = 256
+_MIN_BACKOFF_SECONDS = 0.02
+_MAX_BACKOFF_SECONDS = 0.5
+_MAX_CACHED_OBJECTS = 256
 
 
 class ObjectEditor(Generic[Value]):
     """Applies idempotent changes to objects of one kind.
 
-    A change is a function from the present value (None if there is no object) to the
-    new value, or to None where nothing is left to do. It must be *idempotent*: it has
-    to recognise its own earlier effect in the value. That is what makes a lost reply
-    harmless, since the change is then tried again on what is really stored.
+    A change is a function from the current value (None if there is no object) to the new value,
+    or to None if nothing is left to do. It must be *idempotent*, that is, recognise its own
+    earlier effect in the value. A lost reply is then harmless, because the change is tried again
+    on the value that is actually stored.
 
     Parameters
     ----------
     store : ObjectStore
-        Where the objects are.
+        Store of the objects.
     kind : str
         The kind of object.
     value_type : type
-        The struct that the values decode to.
+        Type that the values are decoded to.
     attempts : int
-        Writes that are tried before giving up.
+        Maximum number of writes.
     seed : int, optional
-        Seeds the backoff's jitter.
+        Seed of the backoff's jitter.
     sleep : callable, optional
         Replaced in tests.
     """
@@ -71,33 +71,33 @@
         self._known: OrderedDict[str, StoredObject] = OrderedDict()
 
     def read(self, name: str) -> Result[Value, PlatformFailure]:
-        """Read the stored value afresh."""
+        """Read the stored value, bypassing the cache."""
         result = self.store.get(self.kind, name)
         if isinstance(result, Success):
-            self._copy(name, result.unwrap())
+            self._cache_object(name, result.unwrap())
         return result.map(lambda stored: self._decoder.decode(stored.value))
 
     def apply(
         self, name: str, change: Callable[[Value | None], Value | None]
     ) -> Result[Value, PlatformFailure]:
-        """Apply a change and return the value that is then known to be stored.
+        """Apply a change and return the value that is known to be stored afterwards.
 
-        The version seen last is tried first, so an undisturbed change costs one call.
-        A `WriteUnknown` failure means that the effect could not be found out.
+        The cached version is tried first, so a change without a conflict costs one call. A
+        `WriteUnknown` failure means that the effect could not be determined.
         """
-        doubt: PlatformFailure | None = None
+        unknown_write: PlatformFailure | None = None
         for attempt in range(self.attempts):
-            copied = name in self._known
-            before = self._current(name)
+            is_cached = name in self._known
+            before = self._load(name)
             if isinstance(before, Failure):
-                if doubt is not None:
-                    return Failure(doubt)
+                if unknown_write is not None:
+                    return Failure(unknown_write)
                 return before
             stored = before.unwrap()
             old = None if stored is None else self._decoder.decode(stored.value)
             new = change(old)
-            if new is None and copied:
-                # A copy may be too old to conclude from that nothing is left to do.
+            if new is None and is_cached:
+                # The cached value may be too old to conclude that nothing is left to do.
                 self._known.pop(name, None)
                 continue
             if new is None:
@@ -105,30 +105,33 @@
             version = 0 if stored is None else stored.version
             written = self.store.put(self.kind, name, msgspec.json.encode(new), version)
             if isinstance(written, Success):
-                self._copy(name, written.unwrap())
+                self._cache_object(name, written.unwrap())
                 return Success(new)
             failure = written.failure()
             if isinstance(failure, NotFound):
-                # The object is gone: it is made again.
+                # The object was deleted: create it again.
                 self._known.pop(name, None)
                 continue
             if not isinstance(failure, Conflict | WriteUnknown):
-                return Failure(doubt or failure)
-            doubt = self._learn(name, failure, doubt)
+                return Failure(unknown_write or failure)
+            unknown_write = self._handle_write_failure(name, failure, unknown_write)
             self._back_off(attempt)
-        return Failure(doubt or PlatformUnavailable(f"{self.kind}/{name}: too many conflicts"))
+        return Failure(
+            unknown_write or PlatformUnavailable(f"{self.kind}/{name}: too many conflicts")
+        )
 
-    def _learn(self, name, failure, doubt):
+    def _handle_write_failure(self, name, failure, unknown_write):
+        """Update the cache after a failed write; return the last write of unknown outcome."""
         if isinstance(failure, WriteUnknown):
             self._known.pop(name, None)
             return failure
         if failure.current is None:
             self._known.pop(name, None)
         else:
-            self._copy(name, failure.current)
-        return doubt
+            self._cache_object(name, failure.current)
+        return unknown_write
 
-    def _current(self, name: str) -> Result[StoredObject | None, PlatformFailure]:
+    def _load(self, name: str) -> Result[StoredObject | None, PlatformFailure]:
         known = self._known.get(name)
         if known is not None:
             return Success(known)
@@ -137,12 +140,12 @@
             return Success(None)
         return result
 
-    def _copy(self, name: str, stored: StoredObject) -> None:
+    def _cache_object(self, name: str, stored: StoredObject) -> None:
         self._known[name] = stored
         self._known.move_to_end(name)
-        if len(self._known) > _MOST_COPIES:
+        if len(self._known) > _MAX_CACHED_OBJECTS:
             self._known.popitem(last=False)
 
     def _back_off(self, attempt: int) -> None:
-        longest = min(_LONGEST_BACKOFF, _FIRST_BACKOFF * 2**attempt)
+        longest = min(_MAX_BACKOFF_SECONDS, _MIN_BACKOFF_SECONDS * 2**attempt)
         self.sleep(longest * self._random.random())
--- a/whinrack/store/_token_bucket.py
+++ b/whinrack/store/_token_bucket.py
@@ -1,17 +1,17 @@
-"""A token bucket without a clock of its own."""
+"""Token bucket that gets the time from its caller."""
 
 __all__ = ["TokenBucket"]
 
 
 class TokenBucket:
-    """Permits at a rate, saved up to a burst.
+    """Limits the rate of operations, with bursts up to a bound.
 
     Parameters
     ----------
     rate : float
-        Permits a second.
+        Permits per second.
     burst : float
-        Most permits that are saved up.
+        Maximum number of accumulated permits.
 
     Examples
     --------
@@ -23,24 +23,24 @@
     def __init__(self, rate: float, burst: float):
         self.rate = rate
         self.burst = burst
-        self._saved = burst
-        self._at: float | None = None
+        self._permits = burst
+        self._refilled_at: float | None = None
 
     def reserve(self, now: float) -> float:
-        """Take one permit and return the seconds to wait before using it."""
+        """Reserve one permit and return the seconds to wait before using it."""
         self._refill(now)
-        self._saved -= 1.0
-        return max(0.0, -self._saved / self.rate)
+        self._permits -= 1.0
+        return max(0.0, -self._permits / self.rate)
 
     def try_acquire(self, now: float) -> bool:
-        """Take one permit if one is there now."""
+        """Take one permit if one is available now; return whether one was."""
         self._refill(now)
-        if self._saved < 1.0:
+        if self._permits < 1.0:
             return False
-        self._saved -= 1.0
+        self._permits -= 1.0
         return True
 
     def _refill(self, now: float) -> None:
-        if self._at is not None:
-            self._saved = min(self.burst, self._saved + (now - self._at) * self.rate)
-        self._at = now
+        if self._refilled_at is not None:
+            self._permits = min(self.burst, self._permits + (now - self._refilled_at) * self.rate)
+        self._refilled_at = now
--- a/whinrack/store/tests/test_adaptive_timeout.py
+++ b/whinrack/store/tests/test_adaptive_timeout.py
@@ -1,36 +1,36 @@
-"""How long to wait for an answer of a store that is quick, slow, or turns slow."""
+"""Tests of the adaptive timeout with fast and slow stores."""
 
 import pytest
 
 from whinrack.store import AdaptiveTimeout
 
-_QUICK = 0.004
-# A slow store of the days that were played.
+_FAST = 0.004
+# Response time of the slow store in the simulated days.
 _SLOW = 0.39
-# Slower than any that was played.
+# Longer than any response time in the simulated days.
 _SLOWER = 0.7
 
 
-def taught(seconds, count=50):
+def timeout_after(seconds, count=50):
     timeout = AdaptiveTimeout()
     for _ in range(count):
         timeout.record_response(seconds)
     return timeout
 
 
-def test_the_wait_is_short_while_answers_are_quick():
-    assert AdaptiveTimeout().seconds == taught(_QUICK).seconds == 0.5
+def test_timeout_is_minimal_while_answers_are_fast():
+    assert AdaptiveTimeout().seconds == timeout_after(_FAST).seconds == 0.5
 
 
-def test_a_store_that_turns_slow_is_waited_for():
-    timeout = taught(_QUICK)
+def test_timeout_covers_a_store_that_becomes_slow():
+    timeout = timeout_after(_FAST)
     for _ in range(50):
         assert timeout.seconds > _SLOW
         timeout.record_response(_SLOW)
 
 
-def test_a_store_slower_than_the_wait_is_reached_by_the_next_call_and_all_later_ones():
-    timeout = taught(_QUICK)
+def test_timeout_covers_a_slower_store_after_the_first_lost_answer():
+    timeout = timeout_after(_FAST)
     assert timeout.seconds < _SLOWER
     timeout.record_timeout()
     for _ in range(50):
@@ -38,20 +38,20 @@
         timeout.record_response(_SLOWER)
 
 
-def test_the_wait_is_short_again_after_a_silence():
-    timeout = taught(_QUICK)
+def test_timeout_returns_to_the_minimum_after_an_outage():
+    timeout = timeout_after(_FAST)
     for _ in range(5000):
         timeout.record_timeout()
     assert timeout.seconds == 0.8
-    timeout.record_response(_QUICK)
+    timeout.record_response(_FAST)
     assert timeout.seconds == pytest.approx(0.5)
 
 
-def test_an_answer_that_was_held_for_an_unknown_time_ends_the_longer_wait_only():
-    timeout = taught(_SLOWER)
+def test_answer_of_unknown_response_time_only_ends_the_backoff():
+    timeout = timeout_after(_SLOWER)
     usual = timeout.seconds
     timeout.record_timeout()
     timeout.record_response_within(2 * _SLOWER)
     assert timeout.seconds > usual
-    timeout.record_response_within(_QUICK)
+    timeout.record_response_within(_FAST)
     assert timeout.seconds == usual
--- a/whinrack/store/tests/test_connections.py
+++ b/whinrack/store/tests/test_connections.py
@@ -1,4 +1,4 @@
-"""Kept connections to a store, and what one lost reply says of the others."""
+"""Tests that a lost reply makes later calls open new connections."""
 
 import socket
 import threading
@@ -14,11 +14,11 @@
 
 _TIMEOUT = urllib3.Timeout(connect=1.0, read=0.2)
 _REPLY = b"HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok"
-_KEPT = 4
+_MAX_IDLE = 4
 
 
 class Server:
-    """Answers every request; connections that are open can be told to fall silent."""
+    """Server that answers every request, except on silenced connections."""
 
     def __init__(self):
         self.sockets, self.silent = [], set()
@@ -56,19 +56,19 @@
 
 @pytest.fixture
 def connections(server):
-    """Connections of which several are open and idle."""
-    kept = StoreConnections(server.address, _KEPT)
-    pool = kept._pool
-    taken = [pool._get_conn() for _ in range(_KEPT)]
-    for connection in taken:
+    """Return a client with several open idle connections."""
+    client = StoreConnections(server.address, _MAX_IDLE)
+    pool = client._pool
+    opened = [pool._get_conn() for _ in range(_MAX_IDLE)]
+    for connection in opened:
         connection.connect()
         pool._put_conn(connection)
-    while len(server.sockets) < _KEPT:
+    while len(server.sockets) < _MAX_IDLE:
         time.sleep(0.01)
-    return kept
+    return client
 
 
-def test_one_lost_reply_makes_the_next_call_open_a_new_connection(server, connections):
+def test_next_call_after_a_lost_reply_opens_a_new_connection(server, connections):
     assert isinstance(connections.call("GET", "/", _TIMEOUT), Success)
     server.silence_open()
     lost = connections.call("GET", "/", _TIMEOUT)
@@ -77,30 +77,32 @@
     assert isinstance(connections.call("GET", "/", _TIMEOUT), Success)
 
 
-def test_calls_at_the_same_time_after_a_lost_reply_are_all_answered(server, connections):
+def test_concurrent_calls_after_a_lost_reply_are_all_answered(server, connections):
     server.silence_open()
     connections.call("GET", "/", _TIMEOUT)
-    found = []
-    threads = [threading.Thread(target=_note, args=(connections, found)) for _ in range(_KEPT)]
+    results = []
+    threads = [
+        threading.Thread(target=_call, args=(connections, results)) for _ in range(_MAX_IDLE)
+    ]
     for thread in threads:
         thread.start()
     for thread in threads:
         thread.join()
-    assert [type(result) for result in found] == [Success] * _KEPT
+    assert [type(result) for result in results] == [Success] * _MAX_IDLE
 
 
-def test_a_lost_write_may_have_been_done(server, connections):
+def test_write_with_a_lost_reply_has_an_unknown_outcome(server, connections):
     connections.call("GET", "/", _TIMEOUT)
     server.silence_open()
     failure = connections.call("PUT", "/", _TIMEOUT, b"{}").failure()
     assert isinstance(failure, WriteUnknown)
 
 
-def test_connections_are_probed_by_the_kernel(server, connections):
+def test_connections_use_tcp_keepalive(server, connections):
     connection = connections._pool._get_conn()
     for level, option, value in KEEPALIVE_OPTIONS:
         assert connection.sock.getsockopt(level, option) == value
 
 
-def _note(connections, found):
-    found.append(connections.call("GET", "/", _TIMEOUT))
+def _call(connections, results):
+    results.append(connections.call("GET", "/", _TIMEOUT))
