--- a/whinrack/edge/__init__.py
+++ b/whinrack/edge/__init__.py
@@ -6,10 +6,10 @@
 from whinrack.edge._readers import ConfigurationReader, HallReader, TargetReader
 
 __all__ = [
+    "AuxiliaryEndpoints",
     "ConfigurationReader",
     "EdgeDaemon",
     "EdgeOptions",
     "HallReader",
-    "AuxiliaryEndpoints",
     "TargetReader",
 ]
--- a/whinrack/edge/_emptied_halls.py
+++ b/whinrack/edge/_emptied_halls.py
@@ -5,10 +5,10 @@
 import eventlet
 
 from whinrack.dispatch import HallStatus, TargetRegistry
-from whinrack.edge._kind_follower import KindFollower, SourcePlan
-from whinrack.edge._readers import HallReader, shown
-from whinrack.edge._relay import KindRelay
-from whinrack.edge._store_availability import StoreContact
+from whinrack.edge._kind_follower import KindFollower, UpstreamSelector
+from whinrack.edge._readers import HallReader, truncate_for_log
+from whinrack.edge._relay import WatchCache
+from whinrack.edge._store_availability import StoreAvailability
 from whinrack.exceptions import InvalidObject
 from whinrack.observability import Event, log_event
 from whinrack.store import StoredObject, format_revision, revision_era
@@ -20,7 +20,7 @@
 # calls.
 _WATCH_SECONDS = 3.0
 # What an operator wrote on halls and the store lost is written again within so long.
-_REWRITTEN_SECONDS = 5.0
+_RESTORE_GRACE_SECONDS = 5.0
 
 
 class HallKnowledge:
@@ -30,12 +30,12 @@
     ----------
     reader : HallReader
     registry : TargetRegistry
-    plan : SourcePlan
+    upstreams : SourcePlan
         Says whom to ask for lists and watches.
-    contact : StoreContact
-    relay : KindRelay
+    availability : StoreContact
+    cache : KindRelay
         Told what was followed.
-    spread : callable
+    notify_peers : callable
         Called with each change, to tell the peers at once.
     count_invalid : callable, optional
         Told the kind of each object that can't be used.
@@ -45,79 +45,81 @@
         self,
         reader: HallReader,
         registry: TargetRegistry,
-        plan: SourcePlan,
-        contact: StoreContact,
-        relay: KindRelay,
-        spread: Callable[[], None],
+        upstreams: UpstreamSelector,
+        availability: StoreAvailability,
+        cache: WatchCache,
+        notify_peers: Callable[[], None],
         count_invalid: Callable[[str], None] = lambda kind: None,
     ):
         self.reader = reader
         self.registry = registry
-        self.relay = relay
-        self.spread = spread
+        self.cache = cache
+        self.notify_peers = notify_peers
         self.count_invalid = count_invalid
         self._era: int | None = None
         # Words of an earlier era hold in spite of the lists of this one.
-        self._unsettled_era: int | None = None
+        self._recovering_era: int | None = None
         self.follower = KindFollower(
-            plan,
+            upstreams,
             reader.kind,
-            self._replace,
-            self._change,
-            contact,
+            self._apply_list,
+            self._apply_changes,
+            availability,
             _WATCH_SECONDS,
-            probes=False,
-            relay=relay,
-            fed_watch_seconds=_WATCH_SECONDS,
+            probes_store=False,
+            cache=cache,
+            peer_watch_seconds=_WATCH_SECONDS,
         )
 
-    def learn(self, words: list[HallStatus], source: str) -> None:
+    def merge(self, statuses: list[HallStatus], source: str) -> None:
         """Take in words on halls, from the store or a peer."""
-        news = [word for word in words if self.registry.update_hall(word)]
-        for word in news:
+        changed = [status for status in statuses if self.registry.update_hall(status)]
+        for status in changed:
             log_event(
-                Event.HALL_EMPTIED if word.is_emptied else Event.HALL_BACK,
-                hall=shown(word.hall),
-                version=format_revision(word.version),
+                Event.HALL_EMPTIED if status.is_emptied else Event.HALL_BACK,
+                hall=truncate_for_log(status.hall),
+                version=format_revision(status.version),
                 source=source,
-                age=self.relay.age(),
+                age=self.cache.age(),
             )
-        if news:
-            self.spread()
+        if changed:
+            self.notify_peers()
 
-    def _replace(self, objects: tuple[StoredObject, ...], revision: int) -> None:
+    def _apply_list(self, objects: tuple[StoredObject, ...], revision: int) -> None:
         if self._era is not None and revision_era(revision) > self._era:
-            eventlet.spawn_after(_REWRITTEN_SECONDS, self._release_unlisted, revision_era(revision))
-            self._unsettled_era = revision_era(revision)
+            eventlet.spawn_after(
+                _RESTORE_GRACE_SECONDS, self._release_unlisted, revision_era(revision)
+            )
+            self._recovering_era = revision_era(revision)
         self._era = revision_era(revision)
         listed = {stored.name for stored in objects if not stored.deleted}
         released = [
-            word
-            for word in self.registry.emptied_halls.released_by_list(listed, revision)
-            if revision_era(word.version) >= self._era or self._unsettled_era != self._era
+            status
+            for status in self.registry.emptied_halls.released_by_list(listed, revision)
+            if revision_era(status.version) >= self._era or self._recovering_era != self._era
         ]
-        self.learn([*self._words(objects), *released], "list")
+        self.merge([*self._parse_all(objects), *released], "list")
 
     def _release_unlisted(self, era: int) -> None:
         """Believe the store alone, once what it lost has had time to be written again."""
-        if era != self._unsettled_era:
+        if era != self._recovering_era:
             # It came back once more meanwhile.
             return
-        self._unsettled_era = None
-        snapshot = self.relay.snapshot()
+        self._recovering_era = None
+        snapshot = self.cache.snapshot()
         if snapshot is not None:
             listed = {stored.name for stored in snapshot.objects}
             released = self.registry.emptied_halls.released_by_list(listed, snapshot.revision)
-            self.learn(released, "restored store")
+            self.merge(released, "restored store")
 
-    def _change(self, objects: tuple[StoredObject, ...]) -> None:
-        self.learn(self._words(objects), self.follower.source)
+    def _apply_changes(self, objects: tuple[StoredObject, ...]) -> None:
+        self.merge(self._parse_all(objects), self.follower.upstream_name)
 
-    def _words(self, objects: tuple[StoredObject, ...]) -> list[HallStatus]:
-        words = [self._word(stored) for stored in objects]
-        return [word for word in words if word is not None]
+    def _parse_all(self, objects: tuple[StoredObject, ...]) -> list[HallStatus]:
+        statuses = [self._parse(stored) for stored in objects]
+        return [status for status in statuses if status is not None]
 
-    def _word(self, stored: StoredObject) -> HallStatus | None:
+    def _parse(self, stored: StoredObject) -> HallStatus | None:
         """Read one entry; one that can't be read says nothing, and the word before it stays."""
         if stored.deleted:
             return HallStatus(stored.name, stored.version, is_emptied=False)
@@ -125,5 +127,9 @@
             return HallStatus(self.reader.read(stored), stored.version, is_emptied=True)
         except InvalidObject as error:
             self.count_invalid(stored.kind)
-            log_event(Event.CONFIG_INVALID, object=shown(stored.name), error=shown(error.message))
+            log_event(
+                Event.CONFIG_INVALID,
+                object=truncate_for_log(stored.name),
+                error=truncate_for_log(error.message),
+            )
             return None
--- a/whinrack/edge/_endpoints.py
+++ b/whinrack/edge/_endpoints.py
@@ -38,7 +38,7 @@
 
     def handle_directory(self, exchange: Exchange) -> None:
         """Tell the instances that take callers."""
-        if not _asks_for(exchange, self.directory_path):
+        if not _has_path(exchange, self.directory_path):
             exchange.respond(_NOT_FOUND, [], b"")
             return
         addresses = self.membership.caller_addresses(self.caller_data_hall(exchange.head))
@@ -47,15 +47,15 @@
 
     def handle_ready(self, exchange: Exchange) -> None:
         """Tell whether this instance takes callers."""
-        if not _asks_for(exchange, self.ready_path):
+        if not _has_path(exchange, self.ready_path):
             exchange.respond(_NOT_FOUND, [], b"")
             return
-        exchange.respond(_OK if self.membership.ready else _UNAVAILABLE, [], b"")
+        exchange.respond(_OK if self.membership.is_ready else _UNAVAILABLE, [], b"")
 
     def handle_metrics(self, exchange: Exchange) -> None:
         """Tell the metrics."""
         exchange.respond(_OK, _TEXT, self.metrics.render())
 
 
-def _asks_for(exchange: Exchange, path: bytes) -> bool:
+def _has_path(exchange: Exchange, path: bytes) -> bool:
     return exchange.head.target.partition(b"?")[0] == path
--- a/whinrack/edge/_entry_selection.py
+++ b/whinrack/edge/_entry_selection.py
@@ -3,28 +3,28 @@
 from whinrack.base import rendezvous
 from whinrack.gossip import Capacity, PeerState, has_high_capacity, max_capacity
 
-__all__ = ["choose_entries", "is_crowded", "serves_callers"]
+__all__ = ["choose_entries", "is_crowded", "is_serving_callers"]
 
 # Up to so many instances all take callers.
-_ALL_UP_TO = 12
+_SMALL_FLEET_INSTANCES = 12
 # Beyond that: instances and cores of a data hall that take its callers at least, and open
 # requests of the hall for each core. Chosen to leave room for a burst and for the loss of an
 # entry; not varied in measurements.
-_LEAST_INSTANCES = 2
-_LEAST_CORES = 4.0
-_OPEN_PER_CORE = 30.0
+_MIN_INSTANCES = 2
+_MIN_CORES = 4.0
+_OPEN_REQUESTS_PER_CORE = 30.0
 # What an instance that doesn't tell its cores counts for.
-_UNKNOWN_CORES = 0.5
+_DEFAULT_CORES = 0.5
 # An instance is crowded with so many times as many open requests as its peers have, and some
 # more; fewer peers tell nothing.
-_CROWDED = 1.5
+_CROWDED_RATIO = 1.5
 _CROWDED_SLACK = 8
-_FEWEST_COMPARED = 3
+_MIN_COMPARED_PEERS = 3
 # Requests a second from which on an instance counts as serving callers, and below which it no
 # longer does. Probes of what is in force come about once a second to every instance: with one
 # threshold of 1 a second all 195 states were news again and again, 2.7 kB in each heartbeat.
-_SERVES_FROM = 3.0
-_SERVES_UNTIL = 1.5
+_SERVING_START_RATE = 3.0
+_SERVING_STOP_RATE = 1.5
 
 
 def choose_entries(ready: list[PeerState], hall: str) -> list[PeerState]:
@@ -41,26 +41,28 @@
     hall : str
         Where the caller is; one that isn't known means all of them.
     """
-    if len(ready) <= _ALL_UP_TO:
+    if len(ready) <= _SMALL_FLEET_INSTANCES:
         return ready
     by_hall: dict[str, list[PeerState]] = {}
     for state in ready:
         by_hall.setdefault(state.data_hall, []).append(state)
     halls = [hall] if hall in by_hall else sorted(by_hall)
-    best = max_capacity(ready)
-    return [state for name in halls for state in _of_hall(name, by_hall[name], best)]
+    best_capacity = max_capacity(ready)
+    return [
+        state for name in halls for state in _choose_in_hall(name, by_hall[name], best_capacity)
+    ]
 
 
-def _of_hall(hall: str, states: list[PeerState], best: Capacity) -> list[PeerState]:
+def _choose_in_hall(hall: str, states: list[PeerState], best_capacity: Capacity) -> list[PeerState]:
     by_name = {state.sender.name: state for state in states}
     # The same order at all instances, so that callers and their connections stay.
     names = rendezvous(f"entries/{hall}", by_name)
-    ordered = sorted(names, key=lambda name: not has_high_capacity(by_name[name], best))
-    needed = max(_LEAST_CORES, sum(state.load for state in states) / _OPEN_PER_CORE)
+    ordered = sorted(names, key=lambda name: not has_high_capacity(by_name[name], best_capacity))
+    needed = max(_MIN_CORES, sum(state.load for state in states) / _OPEN_REQUESTS_PER_CORE)
     chosen: list[PeerState] = []
     cores = 0.0
     for name in ordered:
-        if cores >= needed and len(chosen) >= _LEAST_INSTANCES:
+        if cores >= needed and len(chosen) >= _MIN_INSTANCES:
             break
         chosen.append(by_name[name])
         cores += _cores(by_name[name])
@@ -68,20 +70,20 @@
 
 
 def _cores(state: PeerState) -> float:
-    return state.cores or _UNKNOWN_CORES
+    return state.cores or _DEFAULT_CORES
 
 
-def serves_callers(rate: float, served: bool) -> bool:
+def is_serving_callers(rate: float, was_serving: bool) -> bool:
     """Whether an instance counts as one that serves callers.
 
     Parameters
     ----------
     rate : float
         Requests a second that arrive there.
-    served : bool
+    was_serving : bool
         Whether it counted so a moment ago.
     """
-    return rate >= (_SERVES_UNTIL if served else _SERVES_FROM)
+    return rate >= (_SERVING_STOP_RATE if was_serving else _SERVING_START_RATE)
 
 
 def is_crowded(own: PeerState, open_requests: int, serving: list[PeerState]) -> bool:
@@ -96,7 +98,7 @@
     serving : list of PeerState
         The other instances that serve callers.
     """
-    if len(serving) < _FEWEST_COMPARED:
+    if len(serving) < _MIN_COMPARED_PEERS:
         return False
     open_per_core = sum(state.load for state in serving) / sum(map(_cores, serving))
-    return open_requests > _CROWDED * open_per_core * _cores(own) + _CROWDED_SLACK
+    return open_requests > _CROWDED_RATIO * open_per_core * _cores(own) + _CROWDED_SLACK
--- a/whinrack/edge/_graceful_shutdown.py
+++ b/whinrack/edge/_graceful_shutdown.py
@@ -11,28 +11,28 @@
 from whinrack.http1 import HttpServer
 from whinrack.observability import Event, log_event
 
-__all__ = ["PlannedStop"]
+__all__ = ["GracefulShutdown"]
 
 _POLL_SECONDS = 0.05
 _KILL_MARGIN_SECONDS = 0.4
 # Part of a stop's time in which requests are finished; the rest is for the last orders.
-_SERVING_PART_OF_STOP = 0.84
+_REQUEST_SHARE_OF_STOP = 0.84
 # Callers may keep the answer where to go this many times as long as they were told.
-_STALE_ANSWERS = 3
+_CALLER_CACHE_FACTOR = 3
 # Most seconds that callers who keep it are waited for.
-_LONGEST_KNOWN_SECONDS = 3.0
-_LEAST_DRAIN_SECONDS = 0.1
+_MAX_CALLER_CACHE_SECONDS = 3.0
+_MIN_DRAIN_SECONDS = 0.1
 
 
-class PlannedStop:
+class GracefulShutdown:
     """Stops one instance.
 
     Parameters
     ----------
     membership : Membership
-    front : HttpServer
+    server : HttpServer
     dispatcher : Dispatcher
-    keeper : GrantKeeper
+    grant_manager : GrantKeeper
     tokens : TokenExchange
 
     Attributes
@@ -44,44 +44,46 @@
     def __init__(
         self,
         membership: Membership,
-        front: HttpServer,
+        server: HttpServer,
         dispatcher: Dispatcher,
-        keeper: GrantManager,
+        grant_manager: GrantManager,
         tokens: TokenExchange,
     ):
         self.membership = membership
-        self.front = front
+        self.server = server
         self.dispatcher = dispatcher
-        self.keeper = keeper
+        self.grant_manager = grant_manager
         self.tokens = tokens
-        self.begun = False
-        self.served = False
+        self.has_begun = False
+        self.has_finished_requests = False
 
     def run(self, options: EdgeOptions) -> None:
         """Finish what was taken and hand the tokens back; returns when all is done."""
-        self.begun = True
-        signalled = steady()
+        self.has_begun = True
+        started = steady()
         log_event(Event.ROUTER_STOPPING, in_progress=self.dispatcher.requests_in_progress)
-        self.membership.stopping = True
-        self.membership.beat()
-        self.front.closing = True
+        self.membership.is_stopping = True
+        self.membership.send_heartbeats()
+        self.server.closing = True
         # Until callers have asked anew where to go, new requests are served as before.
-        known = min(_LONGEST_KNOWN_SECONDS, options.answer_seconds * _STALE_ANSWERS)
-        eventlet.spawn_n(self.keeper.drain, False)
-        _sleep_until(signalled + known)
-        self._finish_requests(signalled + options.stop_seconds * _SERVING_PART_OF_STOP)
-        self.front.stop_listening()
-        self.tokens.tell_given()
-        kill_at = signalled + options.stop_seconds - _KILL_MARGIN_SECONDS
-        with eventlet.Timeout(max(_LEAST_DRAIN_SECONDS, kill_at - steady()), False):
-            self.keeper.drain(True)
+        caller_cache_seconds = min(
+            _MAX_CALLER_CACHE_SECONDS, options.answer_seconds * _CALLER_CACHE_FACTOR
+        )
+        eventlet.spawn_n(self.grant_manager.drain, False)
+        _sleep_until(started + caller_cache_seconds)
+        self._finish_requests(started + options.stop_seconds * _REQUEST_SHARE_OF_STOP)
+        self.server.stop_listening()
+        self.tokens.resend_given_totals()
+        kill_at = started + options.stop_seconds - _KILL_MARGIN_SECONDS
+        with eventlet.Timeout(max(_MIN_DRAIN_SECONDS, kill_at - steady()), False):
+            self.grant_manager.drain(True)
 
     def _finish_requests(self, end: float) -> None:
         self.dispatcher.is_refusing_requests = True
-        self.front.close_idle()
+        self.server.close_idle()
         while self.dispatcher.requests_in_progress and steady() < end:
             eventlet.sleep(_POLL_SECONDS)
-        self.served = True
+        self.has_finished_requests = True
 
 
 def _sleep_until(moment: float) -> None:
--- a/whinrack/edge/_instance_host.py
+++ b/whinrack/edge/_instance_host.py
@@ -6,11 +6,11 @@
 from whinrack.clock import steady
 from whinrack.dispatch import Dispatcher, HallStatus
 from whinrack.edge._emptied_halls import HallKnowledge
-from whinrack.edge._entry_selection import serves_callers
+from whinrack.edge._entry_selection import is_serving_callers
 from whinrack.edge._knowledge import StoreKnowledge
 from whinrack.edge._membership_host import MembershipHost
 from whinrack.edge._options import EdgeOptions, HostPort
-from whinrack.edge._store_availability import StoreContact
+from whinrack.edge._store_availability import StoreAvailability
 from whinrack.edge._suspects import SuspectExchange
 from whinrack.edge._tokens import TokenExchange
 from whinrack.gossip import Message, RemovedTarget, SuspectCases
@@ -19,7 +19,7 @@
 __all__ = ["HostedInstance", "InstanceHost"]
 
 # The answer to a watch may be so late, beyond the time for which the watch is held.
-_WATCH_MARGIN_SECONDS = 1.0
+_WATCH_REPLY_MARGIN_SECONDS = 1.0
 
 
 class HostedInstance(Protocol):
@@ -27,8 +27,8 @@
 
     options: EdgeOptions
     dispatcher: Dispatcher
-    keeper: GrantManager
-    contact: StoreContact
+    grant_manager: GrantManager
+    availability: StoreAvailability
     store: MeteredStore
     knowledge: StoreKnowledge
     halls: HallKnowledge
@@ -46,51 +46,54 @@
 
     def __init__(self, instance: HostedInstance):
         self.instance = instance
-        self._serves = False
+        self._is_serving = False
 
-    def open_requests(self) -> int:
+    def count_open_requests(self) -> int:
         """Return the requests in progress here."""
         return self.instance.dispatcher.requests_in_progress
 
-    def serves_callers(self, now: float) -> bool:
+    def is_serving_callers(self, now: float) -> bool:
         """Whether callers' requests come here; the platform's probes are fewer."""
         rate = self.instance.dispatcher.arrivals.rate(now)
-        self._serves = serves_callers(rate, self._serves)
-        return self._serves
+        self._is_serving = is_serving_callers(rate, self._is_serving)
+        return self._is_serving
 
-    def holds_tokens(self) -> bool:
+    def has_spendable_tokens(self) -> bool:
         """Whether there are unspent tokens here."""
-        return self.instance.keeper.has_spendable_tokens
+        return self.instance.grant_manager.has_spendable_tokens
 
-    def reaches_store(self) -> bool:
+    def is_store_reachable(self) -> bool:
         """Whether the store can be reached from here."""
-        return self.instance.contact.answers and self.instance.keeper.is_store_reachable
+        return (
+            self.instance.availability.is_available
+            and self.instance.grant_manager.is_store_reachable
+        )
 
-    def confirms_store(self) -> bool:
+    def has_recent_store_answer(self) -> bool:
         """Whether the store has answered a call from here lately."""
         silent = steady() - self.instance.store.last_answer_at
-        longest = self.instance.options.watch_seconds + _WATCH_MARGIN_SECONDS
-        return self.reaches_store() and silent < longest
+        longest = self.instance.options.watch_seconds + _WATCH_REPLY_MARGIN_SECONDS
+        return self.is_store_reachable() and silent < longest
 
-    def gone_targets(self) -> list[RemovedTarget]:
+    def recently_removed_targets(self) -> list[RemovedTarget]:
         """Return the targets whose records have gone lately."""
-        return self.instance.knowledge.gone_lately()
+        return self.instance.knowledge.recently_removed()
 
-    def learn_gone_targets(self, gone: list[RemovedTarget]) -> None:
+    def merge_removed_targets(self, gone: list[RemovedTarget]) -> None:
         """Take in the targets that a peer knows to be gone."""
-        self.instance.knowledge.learn_gone(gone)
+        self.instance.knowledge.merge_removed(gone)
 
-    def learn_halls(self, words: list[HallStatus], peer: str) -> None:
+    def merge_halls(self, statuses: list[HallStatus], peer: str) -> None:
         """Take in what a peer knows of emptied data halls."""
-        self.instance.halls.learn(words, peer)
+        self.instance.halls.merge(statuses, peer)
 
-    def hear_of_configuration(self, peer: HostPort) -> None:
+    def handle_newer_configuration(self, peer: HostPort) -> None:
         """Catch up with a peer that has a newer configuration."""
-        self.instance.knowledge.suspect_configuration(peer)
+        self.instance.knowledge.catch_up(peer)
 
-    def hear_of_store(self) -> None:
+    def handle_store_reachable(self) -> None:
         """Ask a lost store again, since a peer hears from it."""
-        self.instance.knowledge.hear_of_store()
+        self.instance.knowledge.handle_store_reachable()
 
     def receive(self, message: Message, address: HostPort) -> None:
         """Take in a peer's message about suspected requests, or about tokens."""
--- a/whinrack/edge/_kind_follower.py
+++ b/whinrack/edge/_kind_follower.py
@@ -9,8 +9,8 @@
 
 from whinrack.clock import steady
 from whinrack.edge._options import HostPort
-from whinrack.edge._relay import KindRelay
-from whinrack.edge._store_availability import StoreContact
+from whinrack.edge._relay import WatchCache
+from whinrack.edge._store_availability import StoreAvailability
 from whinrack.exceptions import PlatformFailure, PlatformUnavailable, ReplyLost
 from whinrack.observability import Event, log_event
 from whinrack.store import (
@@ -23,36 +23,36 @@
 
 __all__ = [
     "PROBE_SECONDS",
-    "FollowedSource",
     "KindFollower",
-    "SourcePlan",
+    "Upstream",
+    "UpstreamSelector",
 ]
 
 # The store, where logs name who answered.
 _STORE_NAME = "store"
-_FIRST_PAUSE = 0.1
-_LONGEST_PAUSE = 0.3
+_INITIAL_BACKOFF = 0.1
+_MAX_BACKOFF = 0.3
 # A lost store is asked by watches that are held for so long.
 PROBE_SECONDS = 0.05
 # A watch at a peer: short, since the peer may fall silent.
-_FED_WATCH_SECONDS = 1.0
+_PEER_WATCH_SECONDS = 1.0
 # What a peer passes on is at most as old as the hold of its own watch, and this much: 1.7 s
 # until it knows by itself that the store doesn't answer, and the heartbeat that tells so. What is
 # older was not heard from the store, and the peer doesn't know.
-_AGE_MARGIN_SECONDS = 2.0
+_STALENESS_MARGIN_SECONDS = 2.0
 # What a sound feeder passes on is at most so old: the holds of its own watch and of one more
 # between it and the store, and 0.6 s for late answers. What is older tells that it hears nothing.
-_SOUND_FEED_SECONDS = 2.6
+_MAX_HEALTHY_AGE_SECONDS = 2.6
 # Watches that are held for longer are older by as much.
-_USUAL_WATCH_SECONDS = 1.0
+_DEFAULT_WATCH_SECONDS = 1.0
 # Seconds between the starts of two watches of the store at least: changes that come in quick
 # succession share a call.
-_SHORTEST_INTERVAL = 0.1
+_MIN_WATCH_INTERVAL = 0.1
 # A task that doesn't probe tries by itself after so long.
-_LONGEST_WAIT = 2.0
+_MAX_AVAILABILITY_WAIT = 2.0
 
 
-class FollowedSource(msgspec.Struct, frozen=True):
+class Upstream(msgspec.Struct, frozen=True):
     """Where the next list or watch goes.
 
     Attributes
@@ -71,7 +71,7 @@
         return _STORE_NAME if self.address is None else "{}:{}".format(*self.address)
 
 
-class SourcePlan:
+class UpstreamSelector:
     """Says whom to ask for lists and watches; this one always says the store.
 
     Parameters
@@ -82,24 +82,24 @@
     def __init__(self, store: ObjectStore):
         self.store = store
 
-    def settle(self) -> None:
+    def wait_for_peers(self) -> None:
         """Wait at the start until it is known whom to ask."""
 
-    def store_may_answer(self) -> bool:
+    def is_store_likely_available(self) -> bool:
         """Whether a store that is lost from here is worth a call."""
         return True
 
-    def source(self) -> FollowedSource:
+    def select(self) -> Upstream:
         """Return whom to ask next."""
-        return FollowedSource(self.store)
+        return Upstream(self.store)
 
-    def failed(self, source: FollowedSource) -> None:
+    def report_failure(self, upstream: Upstream) -> None:
         """Learn that a peer didn't answer."""
 
-    def behind(self, source: FollowedSource) -> None:
+    def report_stale(self, upstream: Upstream) -> None:
         """Learn that what a peer passes on was confirmed by the store long ago."""
 
-    def follow_store(self) -> None:
+    def prefer_store(self) -> None:
         """Learn that the store told this instance more lately than its feeder."""
 
 
@@ -108,169 +108,172 @@
 
     Parameters
     ----------
-    plan : SourcePlan
+    upstreams : SourcePlan
     kind : str
-    listed : callable
+    on_list : callable
         Called with all objects after each list, and its revision.
-    changed : callable
+    on_change : callable
         Called with the objects of each watch that had some.
-    contact : StoreContact
+    availability : StoreContact
         Told the outcome of every call to the store.
     watch_seconds : float
         How long one watch is held.
-    probes : bool
+    probes_store : bool
         Go on calling while the store is away, for all who wait for it.
-    relay : KindRelay
+    cache : KindRelay
         Told what was followed.
-    fed_watch_seconds : float, optional
+    peer_watch_seconds : float, optional
         How long a watch at a peer is held at most.
     """
 
     def __init__(
         self,
-        plan: SourcePlan,
+        upstreams: UpstreamSelector,
         kind: str,
-        listed: Callable[[tuple[StoredObject, ...], int], None],
-        changed: Callable[[tuple[StoredObject, ...]], None],
-        contact: StoreContact,
+        on_list: Callable[[tuple[StoredObject, ...], int], None],
+        on_change: Callable[[tuple[StoredObject, ...]], None],
+        availability: StoreAvailability,
         watch_seconds: float,
-        probes: bool,
-        relay: KindRelay,
-        fed_watch_seconds: float = _FED_WATCH_SECONDS,
+        probes_store: bool,
+        cache: WatchCache,
+        peer_watch_seconds: float = _PEER_WATCH_SECONDS,
     ):
-        self.fed_watch_seconds = fed_watch_seconds
-        self.plan = plan
+        self.peer_watch_seconds = peer_watch_seconds
+        self.upstreams = upstreams
         self.kind = kind
-        self.listed = listed
-        self.changed = changed
-        self.contact = contact
+        self.on_list = on_list
+        self.on_change = on_change
+        self.availability = availability
         self.watch_seconds = watch_seconds
-        self.probes = probes
-        self.relay = relay
+        self.probes_store = probes_store
+        self.cache = cache
         self.revision: int | None = None
-        self.listed_once = False
-        self.source = "nobody"
-        self._pause = _FIRST_PAUSE
-        self._refused_revision: int | None = None
-        self._store_heard_at = float("-inf")
+        self.has_listed = False
+        self.upstream_name = "nobody"
+        self._backoff = _INITIAL_BACKOFF
+        self._rejected_revision: int | None = None
+        self._store_answered_at = float("-inf")
 
     def run(self) -> None:
         """Follow for ever."""
-        self.plan.settle()
+        self.upstreams.wait_for_peers()
         while True:
-            began = steady()
-            if self.step():
-                self._pause = _FIRST_PAUSE
-                self._space_calls(began)
+            started = steady()
+            if self.poll():
+                self._backoff = _INITIAL_BACKOFF
+                self._throttle(started)
             else:
-                self._rest()
+                self._back_off()
 
-    def _space_calls(self, began: float) -> None:
+    def _throttle(self, started: float) -> None:
         """Let changes gather before the store is asked again, 0.1 s at most."""
-        rest = began + _SHORTEST_INTERVAL - steady()
-        if rest > 0.0 and self.source == _STORE_NAME and self.contact.answers:
-            eventlet.sleep(rest)
+        delay = started + _MIN_WATCH_INTERVAL - steady()
+        if delay > 0.0 and self.upstream_name == _STORE_NAME and self.availability.is_available:
+            eventlet.sleep(delay)
 
-    def _rest(self) -> None:
+    def _back_off(self) -> None:
         """Wait before the next call after a failure."""
-        eventlet.sleep(self._pause * (0.5 + random.random()))
-        self._pause = min(_LONGEST_PAUSE, 2 * self._pause)
-        if not self.probes and self.plan.source().address is None:
-            self.contact.wait(_LONGEST_WAIT)
+        eventlet.sleep(self._backoff * (0.5 + random.random()))
+        self._backoff = min(_MAX_BACKOFF, 2 * self._backoff)
+        if not self.probes_store and self.upstreams.select().address is None:
+            self.availability.wait_until_available(_MAX_AVAILABILITY_WAIT)
 
-    def step(self) -> bool:
+    def poll(self) -> bool:
         """Make one call to the store, or to a peer that passes it on; False if it failed."""
-        source = self.plan.source()
-        outcome = self._ask(source, self._patience(source))
-        if source.address is None:
+        upstream = self.upstreams.select()
+        outcome = self._fetch(upstream, self._watch_duration(upstream))
+        if upstream.address is None:
             if _is_lost_reply(outcome):
                 # Only the connection may be gone, and the next call opens a new one. Without
                 # it one silent connection at each watcher made 87 instances blind for 10 s.
-                outcome = self._ask(source, PROBE_SECONDS)
-            self.contact.report(isinstance(outcome, Success))
+                outcome = self._fetch(upstream, PROBE_SECONDS)
+            self.availability.report(isinstance(outcome, Success))
             if isinstance(outcome, Success):
-                self._store_heard_at = steady()
+                self._store_answered_at = steady()
         elif isinstance(outcome, Failure):
-            self.plan.failed(source)
+            self.upstreams.report_failure(upstream)
         if isinstance(outcome, Failure):
             return False
-        self._note_source(source)
+        self._record_upstream(upstream)
         return True
 
-    def _ask(self, source: FollowedSource, patience: float) -> Result:
+    def _fetch(self, upstream: Upstream, watch_seconds: float) -> Result:
         """List, or watch for some seconds."""
         if self.revision is None:
-            listed = source.store.list([self.kind])
-            return listed.bind(lambda snapshot: self._take_list(source, snapshot))
-        result = source.store.watch([self.kind], self.revision, patience)
-        return result.map(lambda batch: self._take_batch(source, batch))
+            listed = upstream.store.list([self.kind])
+            return listed.bind(lambda snapshot: self._apply_list(upstream, snapshot))
+        result = upstream.store.watch([self.kind], self.revision, watch_seconds)
+        return result.map(lambda batch: self._apply_batch(upstream, batch))
 
-    def _patience(self, source: FollowedSource) -> float:
+    def _watch_duration(self, upstream: Upstream) -> float:
         """Return the seconds for which a watch is held."""
-        if source.address is not None:
-            return min(self.fed_watch_seconds, self.watch_seconds)
+        if upstream.address is not None:
+            return min(self.peer_watch_seconds, self.watch_seconds)
         # A lost store is probed: the answer has to come at once, changes or not.
-        return self.watch_seconds if self.contact.answers else PROBE_SECONDS
-
-    def _note_source(self, source: FollowedSource) -> None:
-        if source.name != self.source:
-            log_event(Event.FEED_CHANGED, kind=self.kind, before=self.source, now=source.name)
-            self.source = source.name
-
-    def _take_list(
-        self, source: FollowedSource, snapshot: Snapshot
-    ) -> Result[None, PlatformFailure]:
-        if self.relay.revision is not None and snapshot.revision < self.relay.revision:
-            self._log_refused(source, snapshot.revision)
+        return self.watch_seconds if self.availability.is_available else PROBE_SECONDS
+
+    def _record_upstream(self, upstream: Upstream) -> None:
+        if upstream.name != self.upstream_name:
+            log_event(
+                Event.FEED_CHANGED, kind=self.kind, before=self.upstream_name, now=upstream.name
+            )
+            self.upstream_name = upstream.name
+
+    def _apply_list(self, upstream: Upstream, snapshot: Snapshot) -> Result[None, PlatformFailure]:
+        if self.cache.revision is not None and snapshot.revision < self.cache.revision:
+            self._log_rejected_list(upstream, snapshot.revision)
             return Failure(PlatformUnavailable("the list is behind what was followed here"))
-        self._refused_revision = None
-        self.relay.confirmed(snapshot.age)
-        self.listed(snapshot.objects, snapshot.revision)
-        self.relay.listed(snapshot.revision, snapshot.objects)
+        self._rejected_revision = None
+        self.cache.confirm(snapshot.age)
+        self.on_list(snapshot.objects, snapshot.revision)
+        self.cache.replace(snapshot.revision, snapshot.objects)
         self.revision = snapshot.revision
-        self.listed_once = True
+        self.has_listed = True
         return Success(None)
 
-    def _log_refused(self, source: FollowedSource, revision: int) -> None:
+    def _log_rejected_list(self, upstream: Upstream, revision: int) -> None:
         """Tell of a list that is not taken, once for each revision."""
-        if revision != self._refused_revision:
-            self._refused_revision = revision
+        if revision != self._rejected_revision:
+            self._rejected_revision = revision
             log_event(
                 Event.LIST_REFUSED,
                 kind=self.kind,
-                source=source.name,
+                source=upstream.name,
                 revision=format_revision(revision),
-                followed=format_revision(self.relay.revision),
+                followed=format_revision(self.cache.revision),
             )
 
-    def _take_batch(self, source: FollowedSource, batch: WatchBatch) -> None:
-        if self._knows_better(batch.age):
-            self.plan.follow_store()
-        if batch.age > self.watch_seconds + _AGE_MARGIN_SECONDS + self._longer_holds:
-            self.plan.behind(source)
+    def _apply_batch(self, upstream: Upstream, batch: WatchBatch) -> None:
+        if self._is_fresher_than_upstream(batch.age):
+            self.upstreams.prefer_store()
+        if batch.age > self.watch_seconds + _STALENESS_MARGIN_SECONDS + self._extra_watch_seconds:
+            self.upstreams.report_stale(upstream)
         if batch.gap:
             self.revision = None
             return
-        self.relay.confirmed(batch.age)
+        self.cache.confirm(batch.age)
         if batch.objects:
-            self.changed(batch.objects)
+            self.on_change(batch.objects)
         self.revision = max(self.revision, batch.revision)
-        self.relay.changed(self.revision, batch.objects)
+        self.cache.apply(self.revision, batch.objects)
 
     @property
-    def _longer_holds(self) -> float:
+    def _extra_watch_seconds(self) -> float:
         """Seconds for which a watch is held beyond the usual."""
-        return max(0.0, self.watch_seconds - _USUAL_WATCH_SECONDS)
+        return max(0.0, self.watch_seconds - _DEFAULT_WATCH_SECONDS)
 
-    def _knows_better(self, age: float) -> bool:
+    def _is_fresher_than_upstream(self, age: float) -> bool:
         """Whether the store, in reach as far as is known, was heard here after the feeder heard it.
 
         Without it one that restarted while all others were cut off followed these, and
         answered by an old configuration for 5 s though the store was in its reach.
         """
-        if age <= _SOUND_FEED_SECONDS + 2 * self._longer_holds or not self.contact.answers:
+        if (
+            age <= _MAX_HEALTHY_AGE_SECONDS + 2 * self._extra_watch_seconds
+            or not self.availability.is_available
+        ):
             return False
-        return steady() - age < self._store_heard_at
+        return steady() - age < self._store_answered_at
 
 
 def _is_lost_reply(outcome: Result) -> bool:
--- a/whinrack/edge/_knowledge.py
+++ b/whinrack/edge/_knowledge.py
@@ -11,13 +11,13 @@
 
 from whinrack.clock import steady
 from whinrack.dispatch import CurrentConfiguration, TargetRecord, TargetRegistry, TargetsView
-from whinrack.edge._kind_follower import PROBE_SECONDS, KindFollower, SourcePlan
+from whinrack.edge._kind_follower import PROBE_SECONDS, KindFollower, UpstreamSelector
 from whinrack.edge._knowledge_exchange import SharedKnowledge, fetch_knowledge
 from whinrack.edge._options import HostPort
-from whinrack.edge._readers import ConfigurationReader, TargetReader, shown
+from whinrack.edge._readers import ConfigurationReader, TargetReader, truncate_for_log
 from whinrack.edge._relay import WatchRelay
-from whinrack.edge._restore_reconciliation import LostEntries
-from whinrack.edge._store_availability import StoreContact
+from whinrack.edge._restore_reconciliation import RestoreReconciler
+from whinrack.edge._store_availability import StoreAvailability
 from whinrack.exceptions import InvalidObject
 from whinrack.gossip import RemovedTarget
 from whinrack.observability import Event, log_event
@@ -25,23 +25,23 @@
 
 __all__ = ["StoreKnowledge"]
 
-_FAILED_READ_PAUSE = 0.5
-_PEER_PAUSE = 1.0
+_READ_RETRY_SECONDS = 0.5
+_PEER_FETCH_SECONDS = 1.0
 # A fed instance that lost the store asks it again after so long, and half as much by chance.
-_PROBE_PAUSE = 1.0
+_PROBE_INTERVAL_SECONDS = 1.0
 # A fed instance that hears of a newer configuration waits so long for it to come by itself.
-_FEED_PAUSE = 0.25
+_RELAY_GRACE_SECONDS = 0.25
 # Names of targets that are gone, the last ones.
-_MOST_GONE = 2000
+_MAX_REMOVED = 2000
 # For so long peers are told that a target's record is gone.
-_GONE_TOLD_SECONDS = 4.0
+_REMOVED_ADVERTISED_SECONDS = 4.0
 
 
-class _GoneRecord(NamedTuple):
+class _RemovedRecord(NamedTuple):
     """The version that a target's record had last, and when its end was learnt."""
 
     version: int
-    at: float
+    learned_at: float
 
 
 class StoreKnowledge:
@@ -50,12 +50,12 @@
     Parameters
     ----------
     store : ObjectStore
-    contact : StoreContact
+    availability : StoreContact
     configuration_reader : ConfigurationReader
     target_reader : TargetReader
-    directory : Directory
+    current_configuration : Directory
     registry : TargetRegistry
-    plan : SourcePlan
+    upstreams : SourcePlan
         Says whom to ask for lists and watches.
     watch_seconds : float
         How long one watch is held.
@@ -65,71 +65,71 @@
         Asks the peer at an address what it knows.
     count_invalid : callable, optional
         Told the kind of each object that can't be used.
-    further_kinds : tuple of str, optional
+    extra_kinds : tuple of str, optional
         Followed elsewhere, and passed on to peers by the same relay.
     """
 
     def __init__(
         self,
         store: ObjectStore,
-        contact: StoreContact,
+        availability: StoreAvailability,
         configuration_reader: ConfigurationReader,
         target_reader: TargetReader,
-        directory: CurrentConfiguration,
+        current_configuration: CurrentConfiguration,
         registry: TargetRegistry,
-        plan: SourcePlan,
+        upstreams: UpstreamSelector,
         watch_seconds: float,
         peer_with_store: Callable[[], HostPort | None],
         fetch: Callable[[HostPort], SharedKnowledge | None] = fetch_knowledge,
         count_invalid: Callable[[str], None] = lambda kind: None,
-        further_kinds: tuple[str, ...] = (),
+        extra_kinds: tuple[str, ...] = (),
     ):
         self.store = store
         self.configuration_reader = configuration_reader
         self.target_reader = target_reader
-        self.directory = directory
+        self.current_configuration = current_configuration
         self.registry = registry
-        self.contact = contact
+        self.availability = availability
         self.peer_with_store = peer_with_store
         self.fetch = fetch
         self.count_invalid = count_invalid
         self._configuration: StoredObject | None = None
         self._targets: dict[str, StoredObject] = {}
         # What the store said is gone, and when; a peer that still has it is behind.
-        self._gone: OrderedDict[str, _GoneRecord] = OrderedDict()
-        self._lost = LostEntries()
+        self._removed: OrderedDict[str, _RemovedRecord] = OrderedDict()
+        self._reconciler = RestoreReconciler()
         # Called with the era in which the store has come back from a copy.
-        self.restored: list[Callable[[int], None]] = []
-        self.plan = plan
-        self.relay = WatchRelay((configuration_reader.kind, target_reader.kind, *further_kinds))
-        self._configurations = KindFollower(
-            plan,
+        self.on_restored: list[Callable[[int], None]] = []
+        self.upstreams = upstreams
+        self.relay = WatchRelay((configuration_reader.kind, target_reader.kind, *extra_kinds))
+        self._configuration_follower = KindFollower(
+            upstreams,
             configuration_reader.kind,
-            lambda objects, revision: self._take_configuration(objects),
-            self._take_configuration,
-            contact,
+            lambda objects, revision: self._apply_configuration(objects),
+            self._apply_configuration,
+            availability,
             watch_seconds,
-            probes=True,
-            relay=self.relay.kinds[configuration_reader.kind],
+            probes_store=True,
+            cache=self.relay.caches[configuration_reader.kind],
         )
-        self._target_list = KindFollower(
-            plan,
+        self._target_follower = KindFollower(
+            upstreams,
             target_reader.kind,
-            self._replace_targets,
-            self._change_targets,
-            contact,
+            self._on_target_list,
+            self._on_target_changes,
+            availability,
             watch_seconds,
-            probes=False,
-            relay=self.relay.kinds[target_reader.kind],
+            probes_store=False,
+            cache=self.relay.caches[target_reader.kind],
         )
-        self._reading = False
-        self._store_heard = Signal()
+        self._is_catching_up = False
+        self._store_reachable = Signal()
 
     def tasks(self) -> list[Callable[[], None]]:
         """Return the loops to run in the background."""
         return [
-            self._configurations.run,
-            self._target_list.run,
+            self._configuration_follower.run,
+            self._target_follower.run,
             self._follow_peers,
             self._probe_store,
         ]
@@ -140,52 +140,52 @@
 
     def targets_view(self) -> TargetsView:
         """Return how up to date the targets are here."""
-        relay = self._target_list.relay
-        return TargetsView(relay.revision or 0, relay.age(), self._target_list.source)
+        cache = self._target_follower.cache
+        return TargetsView(cache.revision or 0, cache.age(), self._target_follower.upstream_name)
 
-    def follows_store(self) -> bool:
+    def is_following_store(self) -> bool:
         """Whether this instance asks the store itself, not a peer that follows it."""
-        return self.plan.source().address is None
+        return self.upstreams.select().address is None
 
-    def suspect_configuration(self, peer: HostPort) -> None:
+    def catch_up(self, peer: HostPort) -> None:
         """Catch up in the background with a peer that has a newer configuration."""
-        if not self._reading:
-            self._reading = True
-            eventlet.spawn_n(self._catch_up, peer)
+        if not self._is_catching_up:
+            self._is_catching_up = True
+            eventlet.spawn_n(self._fetch_from_peer, peer)
 
-    def gone_lately(self) -> list[RemovedTarget]:
+    def recently_removed(self) -> list[RemovedTarget]:
         """Return the targets whose records have gone lately, for the peers."""
-        since = steady() - _GONE_TOLD_SECONDS
-        late: list[RemovedTarget] = []
-        for name, gone in reversed(self._gone.items()):
-            if gone.at < since:
+        since = steady() - _REMOVED_ADVERTISED_SECONDS
+        recent: list[RemovedTarget] = []
+        for name, gone in reversed(self._removed.items()):
+            if gone.learned_at < since:
                 break
-            late.append(RemovedTarget(name, gone.version))
-        return late
+            recent.append(RemovedTarget(name, gone.version))
+        return recent
 
-    def learn_gone(self, gone: list[RemovedTarget]) -> None:
+    def merge_removed(self, gone: list[RemovedTarget]) -> None:
         """Take in what a peer knows to be gone, unless a later record is known here."""
         for target in gone:
             known = self._targets.get(target.incarnation)
             if known is not None and known.version <= target.version:
                 ended = StoredObject(known.kind, known.name, target.version, deleted=True)
-                self._change_targets((ended,), source="peer")
+                self._on_target_changes((ended,), source="peer")
 
-    def hear_of_store(self) -> None:
+    def handle_store_reachable(self) -> None:
         """Ask a lost store again now: a peer hears from it, after none did."""
-        heard, self._store_heard = self._store_heard, Signal()
-        heard.send(None)
+        reachable, self._store_reachable = self._store_reachable, Signal()
+        reachable.send(None)
 
     def _follow_peers(self) -> None:
         """Learn of targets from peers while the store is out of reach."""
         while True:
-            eventlet.sleep(_PEER_PAUSE)
+            eventlet.sleep(_PEER_FETCH_SECONDS)
             # A fed instance goes on being fed by a peer that reaches the store.
-            alone = not self.contact.answers and self.follows_store()
-            peer = self.peer_with_store() if alone else None
+            is_cut_off = not self.availability.is_available and self.is_following_store()
+            peer = self.peer_with_store() if is_cut_off else None
             known = self.fetch(peer) if peer is not None else None
-            if known is not None and not self.contact.answers:
-                self._learn(known)
+            if known is not None and not self.availability.is_available:
+                self._merge(known)
 
     def _probe_store(self) -> None:
         """Ask a lost store again while peers feed this instance.
@@ -194,150 +194,162 @@
         and never watch it again for others: 57 of 87 instances did so after one silence. Until a
         peer hears from the store, the calls of those who follow it are enough.
         """
-        heard = self._store_heard
+        reachable = self._store_reachable
         while True:
-            with eventlet.Timeout(_PROBE_PAUSE * (1.0 + random.random() / 2), False):
-                heard.wait()
+            with eventlet.Timeout(_PROBE_INTERVAL_SECONDS * (1.0 + random.random() / 2), False):
+                reachable.wait()
             # Word that comes while the store is asked in vain lets it be asked once more.
-            heard = self._store_heard
-            is_fed = not self.follows_store()
-            if not self.contact.answers and is_fed and self.plan.store_may_answer():
-                self.contact.report(self._store_answers())
-
-    def _store_answers(self) -> bool:
-        relay = self._configurations.relay
+            reachable = self._store_reachable
+            is_following_peer = not self.is_following_store()
+            if (
+                not self.availability.is_available
+                and is_following_peer
+                and self.upstreams.is_store_likely_available()
+            ):
+                self.availability.report(self._is_store_reachable())
+
+    def _is_store_reachable(self) -> bool:
+        cache = self._configuration_follower.cache
         result = self.store.watch(
-            [self.configuration_reader.kind], relay.revision or 0, PROBE_SECONDS
+            [self.configuration_reader.kind], cache.revision or 0, PROBE_SECONDS
         )
         return isinstance(result, Success)
 
-    def _catch_up(self, peer: HostPort) -> None:
+    def _fetch_from_peer(self, peer: HostPort) -> None:
         try:
-            before = self.directory.version
-            if not self.follows_store():
-                eventlet.sleep(_FEED_PAUSE)
-                if self.directory.version != before:
+            before = self.current_configuration.version
+            if not self.is_following_store():
+                eventlet.sleep(_RELAY_GRACE_SECONDS)
+                if self.current_configuration.version != before:
                     return
             known = self.fetch(peer)
             if known is not None:
                 log_event(
                     Event.KNOWLEDGE_FETCHED, peer=f"{peer[0]}:{peer[1]}", targets=len(known.targets)
                 )
-                self._learn(known)
-            if self.directory.version == before:
+                self._merge(known)
+            if self.current_configuration.version == before:
                 self._read_configuration()
         finally:
-            self._reading = False
+            self._is_catching_up = False
 
-    def _learn(self, known: SharedKnowledge) -> None:
+    def _merge(self, known: SharedKnowledge) -> None:
         """Take in what a peer knows, the targets before the routes that need them."""
-        if not self._target_list.listed_once or not self.contact.answers:
+        if not self._target_follower.has_listed or not self.availability.is_available:
             # The store's own word goes first, also an earlier one that a target is gone.
-            fresh = [stored for stored in known.targets if stored.name not in self._gone]
-            self._change_targets(tuple(fresh), source="peer")
+            fresh = [stored for stored in known.targets if stored.name not in self._removed]
+            self._on_target_changes(tuple(fresh), source="peer")
         if known.configuration is not None:
-            self._take_configuration((known.configuration,))
+            self._apply_configuration((known.configuration,))
 
     def _read_configuration(self) -> None:
         """Read the configuration from the store."""
         reader = self.configuration_reader
         stored = self.store.get(reader.kind, reader.name)
         if isinstance(stored, Success):
-            self._take_configuration((stored.unwrap(),))
+            self._apply_configuration((stored.unwrap(),))
         else:
-            eventlet.sleep(_FAILED_READ_PAUSE)
+            eventlet.sleep(_READ_RETRY_SECONDS)
 
-    def _take_configuration(self, objects: tuple[StoredObject, ...]) -> None:
+    def _apply_configuration(self, objects: tuple[StoredObject, ...]) -> None:
         for stored in objects:
             if stored.deleted or stored.name != self.configuration_reader.name:
                 continue
             try:
                 configuration = self.configuration_reader.read(stored)
-                if self.directory.update(configuration):
+                if self.current_configuration.update(configuration):
                     self._configuration = stored
-                    self._tell_ignored(stored, configuration.ignored_fields)
+                    self._log_ignored_fields(stored, configuration.ignored_fields)
             except InvalidObject as error:
                 self.count_invalid(stored.kind)
-                log_event(Event.CONFIG_INVALID, object=stored.name, error=shown(error.message))
+                log_event(
+                    Event.CONFIG_INVALID, object=stored.name, error=truncate_for_log(error.message)
+                )
 
-    def _tell_ignored(self, stored: StoredObject, ignored: tuple[str, ...]) -> None:
+    def _log_ignored_fields(self, stored: StoredObject, ignored: tuple[str, ...]) -> None:
         """Tell which fields of a configuration were left out."""
         if ignored:
             self.count_invalid(stored.kind)
-            log_event(Event.CONFIG_INVALID, object=stored.name, error=shown("; ".join(ignored)))
+            log_event(
+                Event.CONFIG_INVALID, object=stored.name, error=truncate_for_log("; ".join(ignored))
+            )
 
-    def _replace_targets(self, objects: tuple[StoredObject, ...], revision: int) -> None:
+    def _on_target_list(self, objects: tuple[StoredObject, ...], revision: int) -> None:
         now = steady()
-        pauses = self._lost.learn(revision, self._gone, now)
-        for seconds in pauses:
-            eventlet.spawn_after(seconds, self._look_again)
-        self._believe(self._lost.believed(objects, self._targets.values(), now))
-        if pauses:
-            for tell in self.restored:
-                tell(revision_era(revision))
-
-    def _look_again(self) -> None:
+        delays = self._reconciler.observe_list(revision, self._removed, now)
+        for seconds in delays:
+            eventlet.spawn_after(seconds, self._reapply_target_list)
+        self._apply_target_list(self._reconciler.reconcile(objects, self._targets.values(), now))
+        if delays:
+            for callback in self.on_restored:
+                callback(revision_era(revision))
+
+    def _reapply_target_list(self) -> None:
         """Take the list anew: what the store lost has had time to be written again."""
-        snapshot = self._target_list.relay.snapshot()
+        snapshot = self._target_follower.cache.snapshot()
         if snapshot is not None:
-            self._replace_targets(snapshot.objects, snapshot.revision)
+            self._on_target_list(snapshot.objects, snapshot.revision)
 
-    def _believe(self, objects: Collection[StoredObject]) -> None:
+    def _apply_target_list(self, objects: Collection[StoredObject]) -> None:
         """Put a whole list in the place of what was known."""
         listed = {stored.name: stored for stored in objects}
         for name in self._targets.keys() - listed.keys():
-            self._note_gone(self._targets[name])
+            self._record_removed(self._targets[name])
         for name in listed:
-            self._gone.pop(name, None)
+            self._removed.pop(name, None)
         self._targets = listed
         records = [record for record in map(self._read_target, objects) if record is not None]
         for incarnation in self.registry.replace_all(records):
             self._log_leaving(incarnation, "list")
 
-    def _change_targets(self, objects: tuple[StoredObject, ...], source: str = "watch") -> None:
+    def _on_target_changes(self, objects: tuple[StoredObject, ...], source: str = "watch") -> None:
         for stored in objects:
-            if self._turned_to_leaving(stored):
+            if self._apply_target_change(stored):
                 self._log_leaving(stored.name, source, stored.version)
 
-    def _log_leaving(self, incarnation: str, how: str, version: int = 0) -> None:
+    def _log_leaving(self, incarnation: str, source: str, version: int = 0) -> None:
         """Tell that a target takes no new work, who said so and how old that word is."""
         log_event(
             Event.TARGET_LEAVING,
             target=incarnation,
-            source=how,
+            source=source,
             version=format_revision(version),
             targets=self.targets_view(),
         )
 
-    def _turned_to_leaving(self, stored: StoredObject) -> bool:
+    def _apply_target_change(self, stored: StoredObject) -> bool:
         if stored.deleted:
             self._targets.pop(stored.name, None)
-            self._note_gone(stored)
+            self._record_removed(stored)
             return self.registry.remove(stored.name)
         known = self._targets.get(stored.name)
         if known is not None and known.version > stored.version:
             # A peer that is behind; passed on, its record would make others blind too.
             return False
-        self._lost.ended.discard(stored.name)
+        self._reconciler.ended.discard(stored.name)
         self._targets[stored.name] = stored
-        self._gone.pop(stored.name, None)
+        self._removed.pop(stored.name, None)
         record = self._read_target(stored)
         if record is None:
             # An entry that turned bad names no target any more.
             return self.registry.remove(stored.name)
         return self.registry.put(record)
 
-    def _note_gone(self, stored: StoredObject) -> None:
+    def _record_removed(self, stored: StoredObject) -> None:
         """Remember that the store said a target is gone."""
-        self._gone.pop(stored.name, None)
-        self._gone[stored.name] = _GoneRecord(stored.version, steady())
-        while len(self._gone) > _MOST_GONE:
-            self._gone.popitem(last=False)
+        self._removed.pop(stored.name, None)
+        self._removed[stored.name] = _RemovedRecord(stored.version, steady())
+        while len(self._removed) > _MAX_REMOVED:
+            self._removed.popitem(last=False)
 
     def _read_target(self, stored: StoredObject) -> TargetRecord | None:
         try:
             return self.target_reader.read(stored)
         except InvalidObject as error:
             self.count_invalid(stored.kind)
-            log_event(Event.CONFIG_INVALID, object=shown(stored.name), error=shown(error.message))
+            log_event(
+                Event.CONFIG_INVALID,
+                object=truncate_for_log(stored.name),
+                error=truncate_for_log(error.message),
+            )
             return None
--- a/whinrack/edge/_knowledge_exchange.py
+++ b/whinrack/edge/_knowledge_exchange.py
@@ -11,7 +11,13 @@
 from whinrack.http1 import ConnectionPool, Exchange, Headers, HttpServer, RequestHead
 from whinrack.store import StoredObject
 
-__all__ = ["KnowledgeServer", "SharedKnowledge", "ask_peer", "encode_answer", "fetch_knowledge"]
+__all__ = [
+    "KnowledgeServer",
+    "SharedKnowledge",
+    "encode_answer",
+    "fetch_knowledge",
+    "get_from_peer",
+]
 
 _PATH = b"/v1/knowledge"
 _OK = 200
@@ -19,7 +25,7 @@
 _JSON: Headers = [(b"content-type", b"application/json")]
 _DEFLATED: Headers = [*_JSON, (b"content-encoding", b"deflate")]
 # Longer answers are compressed.
-_COMPRESSED_FROM = 2048
+_MIN_COMPRESSED_BYTES = 2048
 _COMPRESSION_LEVEL = 1
 _FETCH_SECONDS = 1.0
 
@@ -39,7 +45,7 @@
     targets: tuple[StoredObject, ...] = ()
 
 
-def _know_nothing(exchange: Exchange) -> bool:
+def _handle_nothing(exchange: Exchange) -> bool:
     return False
 
 
@@ -50,20 +56,20 @@
     ----------
     address : HostPort
         Where to listen; peers find it at the address of the datagrams.
-    known : callable
+    knowledge : callable
         Returns the `SharedKnowledge`.
-    relay : callable, optional
+    handle_other : callable, optional
         Answers other questions; returns False for those that it doesn't know.
     """
 
     def __init__(
         self,
         address: HostPort,
-        known: Callable[[], SharedKnowledge],
-        relay: Callable[[Exchange], bool] = _know_nothing,
+        knowledge: Callable[[], SharedKnowledge],
+        handle_other: Callable[[Exchange], bool] = _handle_nothing,
     ):
-        self.known = known
-        self.relay = relay
+        self.knowledge = knowledge
+        self.handle_other = handle_other
         self._server = HttpServer(address, self._answer)
 
     @property
@@ -81,44 +87,46 @@
 
     def _answer(self, exchange: Exchange) -> None:
         if exchange.head.target == _PATH:
-            headers, body = encode_answer(self.known())
+            headers, body = encode_answer(self.knowledge())
             exchange.respond(_OK, headers, body)
-        elif not self.relay(exchange):
+        elif not self.handle_other(exchange):
             exchange.respond(_NOT_FOUND, [], b"")
 
 
 def encode_answer(value: msgspec.Struct) -> tuple[Headers, bytes]:
     """Return headers and body of an answer to a peer, compressed where that is worth it."""
     body = msgspec.json.encode(value)
-    if len(body) < _COMPRESSED_FROM:
+    if len(body) < _MIN_COMPRESSED_BYTES:
         return _JSON, body
     return _DEFLATED, zlib.compress(body, _COMPRESSION_LEVEL)
 
 
 def fetch_knowledge(
-    address: HostPort, moved: Callable[[str, HostPort, int], None] | None = None
+    address: HostPort, on_transfer: Callable[[str, HostPort, int], None] | None = None
 ) -> SharedKnowledge | None:
     """Ask a peer what it knows; None if it doesn't answer in time."""
     connections = ConnectionPool()
     try:
-        return ask_peer(address, _PATH, _FETCH_SECONDS, connections, SharedKnowledge, moved)
+        return get_from_peer(
+            address, _PATH, _FETCH_SECONDS, connections, SharedKnowledge, on_transfer
+        )
     finally:
         connections.close()
 
 
-def ask_peer(
+def get_from_peer(
     address: HostPort,
     path: bytes,
     seconds: float,
     connections: ConnectionPool,
     answer_type: type,
-    moved: Callable[[str, HostPort, int], None] | None = None,
+    on_transfer: Callable[[str, HostPort, int], None] | None = None,
 ):
     """Ask a peer by HTTP.
 
     Parameters
     ----------
-    moved : callable, optional
+    on_transfer : callable, optional
         Called with the kind of question, the address and the bytes of the answer's body.
 
     Returns
@@ -139,8 +147,8 @@
         return None
     finally:
         connections.give_back(connection)
-    if moved is not None:
-        moved(answer_type.__name__.lower(), address, len(body))
+    if on_transfer is not None:
+        on_transfer(answer_type.__name__.lower(), address, len(body))
     return _decode(body, answer_type) if head.status == _OK else None
 
 
--- a/whinrack/edge/_limit_log.py
+++ b/whinrack/edge/_limit_log.py
@@ -11,13 +11,13 @@
 # A target may state another number with each answer: lines on one target, and heartbeats that go
 # out for such changes, have so many seconds between them at least. What no heartbeat goes out for
 # comes with the next one.
-_LINE_SECONDS = 1.0
-_SPREAD_SECONDS = 1.0
+_LOG_INTERVAL_SECONDS = 1.0
+_NOTIFY_INTERVAL_SECONDS = 1.0
 # The start and the end of a limit have a line always, and heartbeats that go out for one have so
 # many seconds between them: by the usual ones alone 200 instances take some three seconds.
-_NEWS_SECONDS = 0.25
+_START_END_NOTIFY_INTERVAL_SECONDS = 0.25
 # Targets whose last line is remembered, the latest ones.
-_MOST_TARGETS = 500
+_MAX_TARGETS = 500
 
 
 class LimitLog:
@@ -27,34 +27,41 @@
     ----------
     registry : TargetRegistry
     metrics : Metrics
-    spread : callable
+    notify_peers : callable
         Called with each change, to tell the peers at once: most of them send nothing to the
         target and hear nothing from it.
     """
 
-    def __init__(self, registry: TargetRegistry, metrics: Metrics, spread: Callable[[], None]):
+    def __init__(
+        self, registry: TargetRegistry, metrics: Metrics, notify_peers: Callable[[], None]
+    ):
         self.registry = registry
         self.metrics = metrics
-        self.spread = spread
-        self._line_at: dict[str, float] = {}
-        self._spread_at = float("-inf")
+        self.notify_peers = notify_peers
+        self._logged_at: dict[str, float] = {}
+        self._notified_at = float("-inf")
 
-    def changed(self, change: LimitChange) -> None:
+    def on_limit_changed(self, change: LimitChange) -> None:
         """Log and pass on one change, unless the one before is too recent."""
         self.metrics.limited_targets.set(len(self.registry.stated_limits.limited_targets()))
         now = steady()
         is_another_number = NO_LIMIT not in (change.previous_rate, change.rate)
-        if not is_another_number or now - self._line_at.get(change.target, 0.0) >= _LINE_SECONDS:
+        if (
+            not is_another_number
+            or now - self._logged_at.get(change.target, 0.0) >= _LOG_INTERVAL_SECONDS
+        ):
             self._log(change, now)
-        if now - self._spread_at >= (_SPREAD_SECONDS if is_another_number else _NEWS_SECONDS):
-            self._spread_at = now
-            self.spread()
+        if now - self._notified_at >= (
+            _NOTIFY_INTERVAL_SECONDS if is_another_number else _START_END_NOTIFY_INTERVAL_SECONDS
+        ):
+            self._notified_at = now
+            self.notify_peers()
 
     def _log(self, change: LimitChange, now: float) -> None:
-        self._line_at.pop(change.target, None)
-        self._line_at[change.target] = now
-        while len(self._line_at) > _MOST_TARGETS:
-            del self._line_at[next(iter(self._line_at))]
+        self._logged_at.pop(change.target, None)
+        self._logged_at[change.target] = now
+        while len(self._logged_at) > _MAX_TARGETS:
+            del self._logged_at[next(iter(self._logged_at))]
         log_event(
             Event.TARGET_LIMITED,
             target=change.target,
--- a/whinrack/edge/_load_sharing.py
+++ b/whinrack/edge/_load_sharing.py
@@ -9,7 +9,7 @@
 __all__ = ["LoadSharing"]
 
 # Between two messages on the requests in flight.
-_LOADS_SECONDS = 0.25
+_SHARE_INTERVAL_SECONDS = 0.25
 
 
 class LoadSharing:
@@ -30,7 +30,7 @@
         self.link = link
         self.registry = registry
 
-    def heard(self, message: TargetLoads) -> None:
+    def receive(self, message: TargetLoads) -> None:
         """Take in the loads of a peer."""
         self.registry.remote_loads.update(
             message.sender, message.request_counts, steady(), message.unread_prompt_tokens
@@ -38,14 +38,14 @@
 
     def share_forever(self) -> None:
         """Tell the peers that serve callers how many requests are at each target from here."""
-        told = False
+        had_loads = False
         while True:
-            eventlet.sleep(self.table.heartbeat_interval(_LOADS_SECONDS))
+            eventlet.sleep(self.table.heartbeat_interval(_SHARE_INTERVAL_SECONDS))
             counts = self.registry.requests_by_target()
-            if counts or told:
-                self._share(TargetLoads(self.name, counts, self.registry.unread_tokens()))
-            told = bool(counts)
+            if counts or had_loads:
+                self._send(TargetLoads(self.name, counts, self.registry.unread_tokens()))
+            had_loads = bool(counts)
 
-    def _share(self, message: TargetLoads) -> None:
+    def _send(self, message: TargetLoads) -> None:
         for view in self.table.serving_peers(steady()):
             self.link.send(message, view.state.sender.address)
--- a/whinrack/edge/_membership.py
+++ b/whinrack/edge/_membership.py
@@ -17,7 +17,7 @@
 from whinrack.edge._missing_peers import MissingPeers
 from whinrack.edge._options import EdgeOptions, HostPort
 from whinrack.edge._rate_sharers import RateSharers
-from whinrack.edge._traffic import Place, TrafficMeter
+from whinrack.edge._traffic import Locality, TrafficMeter
 from whinrack.gossip import (
     ClockCheck,
     GossipLink,
@@ -31,15 +31,15 @@
 
 __all__ = ["Membership"]
 
-_MOST_LEAVING = 200
+_MAX_LEAVING = 200
 # Shortest time between two heartbeats that pass news on.
-_SPREAD_SECONDS = 0.1
+_NOTIFY_INTERVAL_SECONDS = 0.1
 # Shortest time between two questions for states that are lacking.
-_ASKING_SECONDS = 1.0
+_STATE_REQUEST_INTERVAL_SECONDS = 1.0
 # The load is told in steps, so that not every change of it is news to the whole fleet.
 _LOAD_STEP = 10
 # Peers that one log line names.
-_MOST_LOGGED = 6
+_MAX_LOGGED_NAMES = 6
 
 
 class Membership:
@@ -50,7 +50,7 @@
     options : EdgeOptions
     holder : str
         This run.
-    directory : Directory
+    current_configuration : Directory
     registry : TargetRegistry
     host : MembershipHost
     count_bytes : callable
@@ -61,43 +61,43 @@
         self,
         options: EdgeOptions,
         holder: str,
-        directory: CurrentConfiguration,
+        current_configuration: CurrentConfiguration,
         registry: TargetRegistry,
         host: MembershipHost,
-        count_bytes: Callable[[str, Place, int], None],
+        count_bytes: Callable[[str, Locality, int], None],
     ):
         self.options = options
         self.holder = holder
-        self.directory = directory
+        self.current_configuration = current_configuration
         self.registry = registry
         self.host = host
-        self.stopping = False
+        self.is_stopping = False
         self.table = PeerTable(
             options.name,
             options.silent_seconds,
             options.forget_seconds,
             data_hall=options.data_hall,
         )
-        self.clocks = ClockCheck()
+        self.clock_check = ClockCheck()
         self.rate_sharers = RateSharers(options, self.table)
-        self.missing = MissingPeers(options, self.table)
+        self.missing_peers = MissingPeers(options, self.table)
         self.traffic = TrafficMeter(options.data_hall, self.table.data_hall_of, count_bytes)
-        self.link = GossipLink(options.gossip, self._receive, self.traffic.moved)
-        self.loads = LoadSharing(options.name, self.table, self.link, registry)
-        self._callers = f"{options.callers[0]}:{options.callers[1]}"
+        self.link = GossipLink(options.gossip, self._receive, self.traffic.record)
+        self.load_sharing = LoadSharing(options.name, self.table, self.link, registry)
+        self._caller_address = f"{options.callers[0]}:{options.callers[1]}"
         self._sequence = 0
-        self._known_live: set[str] = set()
-        self._spread_at = float("-inf")
-        self._asked_at = float("-inf")
+        self._logged_live: set[str] = set()
+        self._notified_at = float("-inf")
+        self._states_requested_at = float("-inf")
         # When peers that know few were told the others last.
         self._introduced_at: dict[str, float] = {}
-        self._number = 0
+        self._heartbeat_number = 0
         self._last_state: PeerState | None = None
 
     @property
-    def ready(self) -> bool:
+    def is_ready(self) -> bool:
         """Whether callers should be sent here."""
-        return not self.stopping and self.directory.version > 0
+        return not self.is_stopping and self.current_configuration.version > 0
 
     def start(self) -> None:
         """Listen for heartbeats."""
@@ -108,28 +108,32 @@
         """Learn where peers may hear datagrams."""
         self.table.add_addresses(seeds, steady())
 
-    def beat(self) -> None:
+    def send_heartbeats(self) -> None:
         """Send a heartbeat to the peers whose turn it is."""
         # What it changes is told by a heartbeat of its own, ahead of this one.
         self.registry.stated_limits.drop_expired()
         now = steady()
-        message = self._heartbeat(now, self.table.take_states_to_pass_on(now))
+        message = self._build_heartbeat(now, self.table.take_states_to_pass_on(now))
         receivers = self.table.next_receivers(now)
         # One peer that answers with all states is enough: 109 bytes for each instance.
-        asked = next(iter([*receivers.own_hall, *receivers.other_halls]), None)
-        asks = self._asks_for_states(now)
+        state_source = next(iter([*receivers.own_hall, *receivers.other_halls]), None)
+        requests_states = self._take_state_request(now)
         for address in receivers.own_hall:
-            self._send(_asking(message, asks and address == asked), address)
-        brief = self._brief(message, now)
+            self._send(
+                _with_state_request(message, requests_states and address == state_source), address
+            )
+        brief = self._for_other_hall(message, now)
         for address in receivers.other_halls:
-            self._send(_asking(brief, asks and address == asked), address)
-        self._log_changes(now)
+            self._send(
+                _with_state_request(brief, requests_states and address == state_source), address
+            )
+        self._log_membership_changes(now)
 
     def _send(self, message: Heartbeat, address: HostPort) -> None:
         if address != self.options.gossip:
             self.link.send(message, address)
 
-    def _brief(self, message: Heartbeat, now: float) -> Heartbeat:
+    def _for_other_hall(self, message: Heartbeat, now: float) -> Heartbeat:
         """Return a heartbeat for another data hall, which tells of the own hall only."""
         return msgspec.structs.replace(
             message,
@@ -137,55 +141,58 @@
             ages=self.table.ages(now, own_hall_only=True),
         )
 
-    def _heartbeat(self, now: float, passed_on: list[PeerState]) -> Heartbeat:
-        self._number += 1
-        leaving = self.registry.leaving_records()[-_MOST_LEAVING:]
+    def _build_heartbeat(self, now: float, passed_on: list[PeerState]) -> Heartbeat:
+        self._heartbeat_number += 1
+        leaving = self.registry.leaving_records()[-_MAX_LEAVING:]
         return Heartbeat(
             state=self.own_state(),
-            number=self._number,
+            number=self._heartbeat_number,
             wall_time=time.time(),
             leaving_targets=[record.incarnation for record in leaving],
             leaving_start_times=[record.started for record in leaving],
-            removed_targets=self.host.gone_targets()[:_MOST_LEAVING],
+            removed_targets=self.host.recently_removed_targets()[:_MAX_LEAVING],
             peers=self.table.live_addresses(now),
             passed_on=passed_on,
             ages=self.table.ages(now),
             suspects_checksum=self.host.suspects_checksum(),
             emptied_halls=self.registry.emptied_halls.statuses(),
             target_limits=self.registry.stated_limits.next_reports(),
-            has_missing_peers=self.missing.misses,
+            has_missing_peers=self.missing_peers.has_missing,
         )
 
-    def _asks_for_states(self, now: float) -> bool:
+    def _take_state_request(self, now: float) -> bool:
         """Whether to ask for the states that are lacking, at most once a second."""
-        if now - self._asked_at < _ASKING_SECONDS or not self.table.pop_missing_states_flag():
+        if (
+            now - self._states_requested_at < _STATE_REQUEST_INTERVAL_SECONDS
+            or not self.table.pop_missing_states_flag()
+        ):
             return False
-        self._asked_at = now
+        self._states_requested_at = now
         return True
 
     def own_state(self) -> PeerState:
         """Return what this instance says of itself now."""
-        state = self._describe()
-        if _is_news(self._last_state, state):
+        state = self._current_state()
+        if _has_changed(self._last_state, state):
             self._sequence += 1
         self._last_state = msgspec.structs.replace(state, sequence=self._sequence)
         return self._last_state
 
-    def _describe(self) -> PeerState:
+    def _current_state(self) -> PeerState:
         host, port = self.options.gossip
         return PeerState(
             incarnation=self.holder,
             sequence=0,
             sender=PeerAddress(self.options.name, host, port),
-            callers=self._callers,
+            callers=self._caller_address,
             data_hall=self.options.data_hall,
-            ready=self.ready,
-            store_answers=self.host.reaches_store(),
-            store_confirmed=self.host.confirms_store(),
-            load=_in_steps(self.host.open_requests()),
-            configuration=self.directory.version,
-            serving=self.host.serves_callers(steady()),
-            holds_tokens=self.host.holds_tokens(),
+            ready=self.is_ready,
+            store_answers=self.host.is_store_reachable(),
+            store_confirmed=self.host.has_recent_store_answer(),
+            load=_quantize_load(self.host.count_open_requests()),
+            configuration=self.current_configuration.version,
+            serving=self.host.is_serving_callers(steady()),
+            holds_tokens=self.host.has_spendable_tokens(),
             bandwidth=self.options.bandwidth,
             cores=self.options.cores,
         )
@@ -194,22 +201,22 @@
         """Return the addresses that a caller in a data hall may connect to."""
         now = steady()
         ready = [view.state for view in self.table.ready(now)]
-        if self.ready or not ready:
+        if self.is_ready or not ready:
             ready.append(self.own_state())
         return [state.callers for state in choose_entries(ready, hall)]
 
     def is_crowded(self) -> bool:
         """Whether callers had better connect to other instances."""
         serving = [view.state for view in self.table.serving_peers(steady())]
-        return is_crowded(self.own_state(), self.host.open_requests(), serving)
+        return is_crowded(self.own_state(), self.host.count_open_requests(), serving)
 
-    def sharing_instances(self) -> int:
+    def count_sharing_instances(self) -> int:
         """Return the number of instances that share the work.
 
         Those that are missing count: parts of a fleet that don't hear each other would each share
         out the whole of what all together may send again, or connect.
         """
-        missing = self.missing.count(only_serving=not self.table.is_full_mesh)
+        missing = self.missing_peers.count(only_serving=not self.table.is_full_mesh)
         return self.table.count_sharing_instances(steady()) + missing
 
     def peer_with_store(self) -> HostPort | None:
@@ -222,109 +229,112 @@
     def wall_clock(self) -> WallClockReading:
         """Return the time of day, checked by that of the peers."""
         seconds = time.time()
-        return WallClockReading(seconds, self.clocks.is_confirmed_by_peers(seconds, steady()))
+        return WallClockReading(seconds, self.clock_check.is_confirmed_by_peers(seconds, steady()))
 
     def beat_forever(self) -> None:
         """Send heartbeats until the process ends."""
         while True:
-            self.beat()
+            self.send_heartbeats()
             eventlet.sleep(self.table.heartbeat_interval(self.options.heartbeat_seconds))
 
     def _receive(self, message, address: tuple[str, int]) -> None:
         if isinstance(message, Heartbeat):
-            self._heard(message)
+            self._on_heartbeat(message)
         elif isinstance(message, TargetLoads):
-            self.loads.heard(message)
+            self.load_sharing.receive(message)
         else:
             self.host.receive(message, address)
 
-    def _heard(self, beat: Heartbeat) -> None:
+    def _on_heartbeat(self, heartbeat: Heartbeat) -> None:
         now = steady()
-        sender = beat.state.sender
-        self.clocks.record_peer_time(sender.name, beat.wall_time, now)
-        without_store = self._is_without_store(now)
-        is_new = self.table.record_heartbeat(beat, now)
+        sender = heartbeat.state.sender
+        self.clock_check.record_peer_time(sender.name, heartbeat.wall_time, now)
+        without_store = self._is_store_out_of_reach(now)
+        is_new = self.table.record_heartbeat(heartbeat, now)
         if without_store and self.table.peers_with_store(now):
-            self.host.hear_of_store()
-        if is_new or beat.requests_states or self._is_alone(beat, now):
+            self.host.handle_store_reachable()
+        if is_new or heartbeat.requests_states or self._is_isolated(heartbeat, now):
             # At once, so that a peer that has just started knows this one and the others.
-            self._introduce(beat, now)
-        newest = max((beat.state, *beat.passed_on), key=lambda state: state.configuration)
-        if newest.configuration > self.directory.version:
-            self.host.hear_of_configuration(newest.sender.address)
-        self.host.learn_gone_targets(beat.removed_targets)
-        if beat.emptied_halls:
-            self.host.learn_halls(beat.emptied_halls, sender.name)
-        self.missing.tell(beat.has_missing_peers)
-        self.registry.stated_limits.merge_reports(beat.target_limits, sender.name)
-        self.host.compare_suspects(beat.suspects_checksum, sender.address)
-        if self._learn_leaving(beat) and not self.table.is_full_mesh:
-            self.spread()
-
-    def _is_without_store(self, now: float) -> bool:
+            self._send_introduction(heartbeat, now)
+        newest = max((heartbeat.state, *heartbeat.passed_on), key=lambda state: state.configuration)
+        if newest.configuration > self.current_configuration.version:
+            self.host.handle_newer_configuration(newest.sender.address)
+        self.host.merge_removed_targets(heartbeat.removed_targets)
+        if heartbeat.emptied_halls:
+            self.host.merge_halls(heartbeat.emptied_halls, sender.name)
+        self.missing_peers.report(heartbeat.has_missing_peers)
+        self.registry.stated_limits.merge_reports(heartbeat.target_limits, sender.name)
+        self.host.compare_suspects(heartbeat.suspects_checksum, sender.address)
+        if self._merge_leaving(heartbeat) and not self.table.is_full_mesh:
+            self.notify_peers()
+
+    def _is_store_out_of_reach(self, now: float) -> bool:
         """Whether neither this instance nor a peer that it hears reaches the store."""
-        return not self.host.reaches_store() and not self.table.peers_with_store(now)
+        return not self.host.is_store_reachable() and not self.table.peers_with_store(now)
 
-    def _is_alone(self, beat: Heartbeat, now: float) -> bool:
+    def _is_isolated(self, heartbeat: Heartbeat, now: float) -> bool:
         """Whether a peer knows few of a large fleet; noticed once a second for each peer.
 
         Its run may be known by hearsay while no answer has reached it: two data halls of 39
         instances stayed alone, each of which followed the store and wrote the books itself.
         """
-        if beat.ages or self.table.is_full_mesh:
+        if heartbeat.ages or self.table.is_full_mesh:
             return False
-        name = beat.state.sender.name
-        if now - self._introduced_at.get(name, float("-inf")) < _ASKING_SECONDS:
+        name = heartbeat.state.sender.name
+        if now - self._introduced_at.get(name, float("-inf")) < _STATE_REQUEST_INTERVAL_SECONDS:
             return False
         self._introduced_at[name] = now
         return True
 
-    def _introduce(self, beat: Heartbeat, now: float) -> None:
+    def _send_introduction(self, heartbeat: Heartbeat, now: float) -> None:
         """Answer a peer that was not known, or that lacks states.
 
         One that tells of others knows many already, and needs no states.
         """
-        knows_few = beat.requests_states or not beat.ages
-        message = self._heartbeat(now, self.table.live_states(now) if knows_few else [])
-        if not knows_few and not self.table.is_in_own_hall(beat.state):
-            message = self._brief(message, now)
-        self.link.send(message, beat.state.sender.address)
-
-    def _learn_leaving(self, beat: Heartbeat) -> bool:
-        """Take in which targets a peer knows to be leaving; True if that is news."""
-        told = itertools.zip_longest(
-            beat.leaving_targets, beat.leaving_start_times[: len(beat.leaving_targets)]
+        knows_few = heartbeat.requests_states or not heartbeat.ages
+        message = self._build_heartbeat(now, self.table.live_states(now) if knows_few else [])
+        if not knows_few and not self.table.is_in_own_hall(heartbeat.state):
+            message = self._for_other_hall(message, now)
+        self.link.send(message, heartbeat.state.sender.address)
+
+    def _merge_leaving(self, heartbeat: Heartbeat) -> bool:
+        """Take in which targets a peer knows to be leaving; True if that is newly_leaving."""
+        targets = itertools.zip_longest(
+            heartbeat.leaving_targets,
+            heartbeat.leaving_start_times[: len(heartbeat.leaving_targets)],
         )
-        news = [name for name, started in told if self.registry.mark_leaving(name, started or 0)]
-        for incarnation in news:
-            log_event(Event.TARGET_LEAVING, target=incarnation, source=beat.state.sender.name)
-        return bool(news)
-
-    def spread(self) -> None:
+        newly_leaving = [
+            name for name, started in targets if self.registry.mark_leaving(name, started or 0)
+        ]
+        for incarnation in newly_leaving:
+            log_event(Event.TARGET_LEAVING, target=incarnation, source=heartbeat.state.sender.name)
+        return bool(newly_leaving)
+
+    def notify_peers(self) -> None:
         """Pass news on before the next heartbeat is due; seldom enough to end by itself."""
         now = steady()
-        if now - self._spread_at >= _SPREAD_SECONDS:
-            self._spread_at = now
-            self.beat()
+        if now - self._notified_at >= _NOTIFY_INTERVAL_SECONDS:
+            self._notified_at = now
+            self.send_heartbeats()
 
-    def _log_changes(self, now: float) -> None:
+    def _log_membership_changes(self, now: float) -> None:
         live = {view.state.sender.name for view in self.table.live_peers(now)}
-        joined, lost = sorted(live - self._known_live), sorted(self._known_live - live)
+        joined, lost = sorted(live - self._logged_live), sorted(self._logged_live - live)
         if joined:
-            log_event(Event.MEMBER_JOINED, peer=_few(joined), live=len(live))
+            log_event(Event.MEMBER_JOINED, peer=_abbreviate(joined), live=len(live))
         if lost:
-            log_event(Event.MEMBER_LOST, peer=_few(lost), live=len(live))
+            log_event(Event.MEMBER_LOST, peer=_abbreviate(lost), live=len(live))
         for name in lost:
             self._introduced_at.pop(name, None)
-        self._known_live = live
+        self._logged_live = live
 
 
-def _asking(message: Heartbeat, asks: bool) -> Heartbeat:
+def _with_state_request(message: Heartbeat, requests_states: bool) -> Heartbeat:
     """Return a heartbeat that asks for all states, or the heartbeat as it is."""
-    return msgspec.structs.replace(message, requests_states=True) if asks else message
+    return msgspec.structs.replace(message, requests_states=True) if requests_states else message
 
 
-def _is_news(before: PeerState | None, now: PeerState) -> bool:
+def _has_changed(before: PeerState | None, now: PeerState) -> bool:
     """Whether a state differs from the one before in more than others hear at once anyway.
 
     Each instance tells its version of the configuration by its own heartbeats. Passed on as
@@ -335,12 +345,12 @@
     return msgspec.structs.replace(before, sequence=0, configuration=now.configuration) != now
 
 
-def _in_steps(load: int) -> int:
+def _quantize_load(load: int) -> int:
     return round(load / _LOAD_STEP) * _LOAD_STEP
 
 
-def _few(names: list[str]) -> str:
+def _abbreviate(names: list[str]) -> str:
     """Return names as text, those beyond a few as a number."""
-    more = len(names) - _MOST_LOGGED
-    shown = " ".join(names[:_MOST_LOGGED])
+    more = len(names) - _MAX_LOGGED_NAMES
+    shown = " ".join(names[:_MAX_LOGGED_NAMES])
     return f"{shown} and {more} more" if more > 0 else shown
--- a/whinrack/edge/_membership_host.py
+++ b/whinrack/edge/_membership_host.py
@@ -10,43 +10,43 @@
 class MembershipHost:
     """What the membership asks of the instance that it speaks for, and tells it."""
 
-    def open_requests(self) -> int:
+    def count_open_requests(self) -> int:
         """Return the requests in progress here."""
         raise NotImplementedError
 
-    def serves_callers(self, now: float) -> bool:
+    def is_serving_callers(self, now: float) -> bool:
         """Whether callers' requests come here, by the steady clock."""
         raise NotImplementedError
 
-    def holds_tokens(self) -> bool:
+    def has_spendable_tokens(self) -> bool:
         """Whether there are unspent tokens here."""
         raise NotImplementedError
 
-    def reaches_store(self) -> bool:
+    def is_store_reachable(self) -> bool:
         """Whether the store can be reached from here."""
         raise NotImplementedError
 
-    def confirms_store(self) -> bool:
+    def has_recent_store_answer(self) -> bool:
         """Whether the store has answered a call from here lately."""
         raise NotImplementedError
 
-    def gone_targets(self) -> list[RemovedTarget]:
+    def recently_removed_targets(self) -> list[RemovedTarget]:
         """Return the targets whose records have gone lately."""
         raise NotImplementedError
 
-    def learn_gone_targets(self, gone: list[RemovedTarget]) -> None:
+    def merge_removed_targets(self, gone: list[RemovedTarget]) -> None:
         """Take in the targets that a peer knows to be gone."""
         raise NotImplementedError
 
-    def learn_halls(self, words: list[HallStatus], peer: str) -> None:
+    def merge_halls(self, statuses: list[HallStatus], peer: str) -> None:
         """Take in what a peer knows of emptied data halls."""
         raise NotImplementedError
 
-    def hear_of_configuration(self, peer: HostPort) -> None:
+    def handle_newer_configuration(self, peer: HostPort) -> None:
         """Learn that a peer has a newer configuration."""
         raise NotImplementedError
 
-    def hear_of_store(self) -> None:
+    def handle_store_reachable(self) -> None:
         """Learn that a peer reaches the store, after none did."""
         raise NotImplementedError
 
--- a/whinrack/edge/_missing_peers.py
+++ b/whinrack/edge/_missing_peers.py
@@ -10,13 +10,13 @@
 
 # One that fell silent without a planned stop is missed for so long, unless it is heard again. It
 # may be cut off, with others, for longer than any outage known.
-_MISSED_SECONDS = 600.0
+_MISSING_SECONDS = 600.0
 # A peer's word that it misses somebody counts for so long; it comes with each heartbeat.
-_TOLD_SECONDS = 5.0
-_RENEWED_SECONDS = 0.5
+_REPORT_VALID_SECONDS = 5.0
+_REFRESH_SECONDS = 0.5
 
 
-class _Remembered(NamedTuple):
+class _KnownInstance(NamedTuple):
     """An instance that was ready when it was heard last."""
 
     heard_at: float
@@ -41,56 +41,56 @@
         self.table = table
         self._started_at = steady()
         # Those that have not stopped as planned, by name.
-        self._remembered: dict[str, _Remembered] = {}
-        self._told_at = float("-inf")
-        self._missing: list[_Remembered] = []
-        self._renewed_at = float("-inf")
+        self._known: dict[str, _KnownInstance] = {}
+        self._reported_at = float("-inf")
+        self._missing: list[_KnownInstance] = []
+        self._refreshed_at = float("-inf")
 
-    def tell(self, misses: bool) -> None:
+    def report(self, has_missing: bool) -> None:
         """Take in a peer's word whether it misses somebody."""
-        if misses:
-            self._told_at = steady()
+        if has_missing:
+            self._reported_at = steady()
 
     @property
-    def is_whole(self) -> bool:
+    def is_fleet_complete(self) -> bool:
         """Whether nobody is missing, by this instance's memory and its peers'."""
-        return not self.misses and steady() - self._told_at > _TOLD_SECONDS
+        return not self.has_missing and steady() - self._reported_at > _REPORT_VALID_SECONDS
 
     @property
-    def misses(self) -> bool:
+    def has_missing(self) -> bool:
         """Whether this instance itself misses somebody."""
-        return bool(self._look()) or self._lacks_seeds(steady())
+        return bool(self._current()) or self._has_unheard_seeds(steady())
 
     def count(self, only_serving: bool) -> int:
         """Return how many are missing, of all or of those that callers came to."""
-        return sum(each.serving or not only_serving for each in self._look())
+        return sum(instance.serving or not only_serving for instance in self._current())
 
-    def _look(self) -> list[_Remembered]:
+    def _current(self) -> list[_KnownInstance]:
         """Return who is missing, looked up a few times a second."""
         now = steady()
-        if now - self._renewed_at >= _RENEWED_SECONDS:
-            self._renewed_at = now
-            self._renew(now)
+        if now - self._refreshed_at >= _REFRESH_SECONDS:
+            self._refreshed_at = now
+            self._refresh(now)
         return self._missing
 
-    def _renew(self, now: float) -> None:
+    def _refresh(self, now: float) -> None:
         for view in self.table.peers_heard_within(now, self.options.forget_seconds):
             name = view.state.sender.name
             if view.state.ready:
-                self._remembered[name] = _Remembered(view.heard_at, view.state.serving)
+                self._known[name] = _KnownInstance(view.heard_at, view.state.serving)
             elif self.table.is_live(view, now):
-                self._remembered.pop(name, None)
-        self._remembered = {
-            name: each
-            for name, each in self._remembered.items()
-            if now - each.heard_at <= _MISSED_SECONDS
+                self._known.pop(name, None)
+        self._known = {
+            name: instance
+            for name, instance in self._known.items()
+            if now - instance.heard_at <= _MISSING_SECONDS
         }
         live = {view.state.sender.name for view in self.table.live_peers(now)}
-        self._missing = [each for name, each in self._remembered.items() if name not in live]
+        self._missing = [instance for name, instance in self._known.items() if name not in live]
 
-    def _lacks_seeds(self, now: float) -> bool:
+    def _has_unheard_seeds(self, now: float) -> bool:
         """Whether an instance that the settings name has not been heard yet."""
-        if now - self._started_at > _MISSED_SECONDS:
+        if now - self._started_at > _MISSING_SECONDS:
             return False
         own = self.options.gossip[0]
         hosts = {host for host, _ in self.options.seeds if host != own}
--- a/whinrack/edge/_options.py
+++ b/whinrack/edge/_options.py
@@ -124,13 +124,13 @@
     after_restart: tuple[str, ...]
 
 
-def reload_options(old: EdgeOptions, read: EdgeOptions) -> ReloadedOptions:
+def reload_options(current: EdgeOptions, read: EdgeOptions) -> ReloadedOptions:
     """Return the old options with what may change in a running process."""
-    before, after = msgspec.structs.asdict(old), msgspec.structs.asdict(read)
+    before, after = msgspec.structs.asdict(current), msgspec.structs.asdict(read)
     differing = sorted(name for name in before if before[name] != after[name])
     changed = tuple(name for name in differing if name in _RELOADABLE)
     return ReloadedOptions(
-        options=msgspec.structs.replace(old, **{name: after[name] for name in changed}),
+        options=msgspec.structs.replace(current, **{name: after[name] for name in changed}),
         changed=changed,
         after_restart=tuple(name for name in differing if name not in _RELOADABLE),
     )
--- a/whinrack/edge/_rate_sharers.py
+++ b/whinrack/edge/_rate_sharers.py
@@ -14,11 +14,11 @@
 _SETTLE_SECONDS = 2.0
 # After that, for a while, all that are ready count: to whom callers come isn't known yet when all
 # have just started.
-_ALL_COUNT_SECONDS = 5.0
+_INCLUDE_IDLE_SECONDS = 5.0
 # One whose settings name others and that hears of none is cut off from them most likely.
-_ALONE_SECONDS = 15.0
+_ISOLATED_SECONDS = 15.0
 # The view is renewed so often; it is asked for with each request.
-_RENEWED_SECONDS = 0.1
+_REFRESH_SECONDS = 0.1
 
 
 class RateSharers:
@@ -36,33 +36,35 @@
     def __init__(self, options: EdgeOptions, table: PeerTable):
         self.options = options
         self.table = table
-        self.started = steady()
+        self.started_at = steady()
         self._members: frozenset[str] = frozenset()
-        self._renewed_at = float("-inf")
+        self._refreshed_at = float("-inf")
 
     def members(self) -> frozenset[str]:
         """Return the names of the instances, with this one; empty while that isn't known."""
         now = steady()
-        if now - self._renewed_at >= _RENEWED_SECONDS:
-            self._renewed_at = now
-            self._members = self._count(now)
+        if now - self._refreshed_at >= _REFRESH_SECONDS:
+            self._refreshed_at = now
+            self._members = self._compute_members(now)
         return self._members
 
-    def _count(self, now: float) -> frozenset[str]:
-        age = now - self.started
+    def _compute_members(self, now: float) -> frozenset[str]:
+        age = now - self.started_at
         views = self.table.peers_heard_within(now, _REMEMBERED_SECONDS)
         expects_others = any(seed != self.options.gossip for seed in self.options.seeds)
         if age < _SETTLE_SECONDS and expects_others:
             return frozenset()
-        if not views and expects_others and age < _ALONE_SECONDS:
+        if not views and expects_others and age < _ISOLATED_SECONDS:
             return frozenset()
-        all_count = self.table.is_full_mesh or age < _ALL_COUNT_SECONDS
-        names = (view.state.sender.name for view in views if self._counts(view, now, all_count))
+        includes_idle = self.table.is_full_mesh or age < _INCLUDE_IDLE_SECONDS
+        names = (
+            view.state.sender.name for view in views if self._is_member(view, now, includes_idle)
+        )
         return frozenset([self.options.name, *names])
 
-    def _counts(self, view: PeerView, now: float, all_count: bool) -> bool:
+    def _is_member(self, view: PeerView, now: float, includes_idle: bool) -> bool:
         """Whether callers come to a peer, or would if it was heard."""
         if not (view.state.ready or self.table.is_live(view, now)):
             # It stopped as planned, and said so.
             return False
-        return all_count or view.state.serving
+        return includes_idle or view.state.serving
--- a/whinrack/edge/_readers.py
+++ b/whinrack/edge/_readers.py
@@ -3,10 +3,10 @@
 from whinrack.dispatch import Configuration, TargetRecord
 from whinrack.store import StoredObject
 
-__all__ = ["ConfigurationReader", "HallReader", "TargetReader", "shown"]
+__all__ = ["ConfigurationReader", "HallReader", "TargetReader", "truncate_for_log"]
 
 # Letters of other writers' text that a log line shows.
-_MOST_SHOWN = 200
+_MAX_LOGGED_CHARACTERS = 200
 
 
 class ConfigurationReader:
@@ -55,6 +55,6 @@
         raise NotImplementedError
 
 
-def shown(text: str) -> str:
+def truncate_for_log(text: str) -> str:
     """Return the beginning of a text that others wrote, for a log line."""
-    return text[:_MOST_SHOWN]
+    return text[:_MAX_LOGGED_CHARACTERS]
--- a/whinrack/edge/_relay.py
+++ b/whinrack/edge/_relay.py
@@ -14,31 +14,31 @@
 from returns.result import Failure, Result, Success
 
 from whinrack.clock import steady
-from whinrack.edge._knowledge_exchange import ask_peer, encode_answer
+from whinrack.edge._knowledge_exchange import encode_answer, get_from_peer
 from whinrack.edge._options import HostPort
 from whinrack.exceptions import PlatformFailure, PlatformUnavailable
 from whinrack.http1 import ConnectionPool, Exchange, Headers
 from whinrack.store import ObjectStore, Snapshot, StoredObject, WatchBatch
 
-__all__ = ["KindRelay", "PeerFeed", "WatchRelay"]
+__all__ = ["PeerStore", "WatchCache", "WatchRelay"]
 
 _LIST_PATH = "/v1/list/"
 _WATCH_PATH = "/v1/watch/"
 _OK = 200
 _NOT_FOUND = 404
-_LONGEST_WAIT = 10.0
+_MAX_WAIT = 10.0
 # A peer that knows no list yet is waited for so long: at the start it asks the store first.
 _LIST_WAIT = 0.5
 # Seconds beyond the wait for which an answer is waited for.
-_PATIENCE = 0.5
+_REPLY_MARGIN_SECONDS = 0.5
 # Changes that are kept for peers.
-_MOST_CHANGES = 2000
-_ENCODED_KEPT = 4
+_MAX_CHANGES = 2000
+_MAX_ENCODED = 4
 # Ages are told in tenths of a second, so that peers that ask together get the same bytes.
 _AGE_DIGITS = 1
 
 
-class KindRelay:
+class WatchCache:
     """The objects of one kind as far as they were followed.
 
     Attributes
@@ -53,16 +53,16 @@
         self._objects: dict[str, StoredObject] = {}
         self._changes: deque[tuple[int, StoredObject]] = deque()
         self._complete_since = 0
-        self._news = Event()
+        self._updated = Event()
 
-    def listed(self, revision: int, objects: Sequence[StoredObject]) -> None:
+    def replace(self, revision: int, objects: Sequence[StoredObject]) -> None:
         """Take in a whole list; changes before it are not known."""
         self._objects = {stored.name: stored for stored in objects}
         self._changes.clear()
         self._complete_since = revision
         self._advance(revision)
 
-    def changed(self, revision: int, objects: Sequence[StoredObject]) -> None:
+    def apply(self, revision: int, objects: Sequence[StoredObject]) -> None:
         """Take in the changes up to a revision."""
         for stored in objects:
             if stored.deleted:
@@ -70,11 +70,11 @@
             else:
                 self._objects[stored.name] = stored
             self._changes.append((revision, stored))
-        while len(self._changes) > _MOST_CHANGES:
+        while len(self._changes) > _MAX_CHANGES:
             self._complete_since, _ = self._changes.popleft()
         self._advance(revision)
 
-    def confirmed(self, age: float) -> None:
+    def confirm(self, age: float) -> None:
         """Learn that the store confirmed what is known here some seconds ago."""
         self.confirmed_at = max(self.confirmed_at, steady() - age)
 
@@ -86,18 +86,18 @@
         """Return the list, waiting for a first one; None if nothing was followed yet."""
         if self.revision is None:
             with eventlet.Timeout(wait, False):
-                self._news.wait()
+                self._updated.wait()
         if self.revision is None:
             return None
         return Snapshot(self.revision, tuple(self._objects.values()), self.age())
 
-    def batch(self, since: int, wait: float) -> WatchBatch | None:
+    def changes_since(self, since: int, wait: float) -> WatchBatch | None:
         """Return the changes after a revision, waiting for some; None before a first list."""
         if self.revision is None:
             return None
         if self.revision <= since:
             with eventlet.Timeout(wait, False):
-                self._news.wait()
+                self._updated.wait()
         age = self.age()
         if self.revision <= since:
             return WatchBatch(since, age=age)
@@ -107,11 +107,11 @@
         return WatchBatch(self.revision, newer, age=age)
 
     def _advance(self, revision: int) -> None:
-        has_news = self.revision is None or revision > self.revision
+        is_newer = self.revision is None or revision > self.revision
         self.revision = revision if self.revision is None else max(revision, self.revision)
-        if has_news:
-            news, self._news = self._news, Event()
-            news.send(None)
+        if is_newer:
+            updated, self._updated = self._updated, Event()
+            updated.send(None)
 
 
 class WatchRelay:
@@ -124,57 +124,57 @@
     """
 
     def __init__(self, kinds: Sequence[str]):
-        self.kinds = {kind: KindRelay() for kind in kinds}
+        self.caches = {kind: WatchCache() for kind in kinds}
         self._encoded: dict[tuple, tuple[Headers, bytes]] = {}
 
-    def answer(self, exchange: Exchange) -> bool:
+    def handle(self, exchange: Exchange) -> bool:
         """Answer a peer's question; False if it is none of this relay's."""
         url = urlsplit(exchange.head.target.decode("latin-1"))
-        for path, reply in ((_LIST_PATH, self._list), (_WATCH_PATH, self._watch)):
-            kind = self.kinds.get(url.path.removeprefix(path))
-            if url.path.startswith(path) and kind is not None:
+        for path, reply in ((_LIST_PATH, self._handle_list), (_WATCH_PATH, self._handle_watch)):
+            cache = self.caches.get(url.path.removeprefix(path))
+            if url.path.startswith(path) and cache is not None:
                 query = {name: values[0] for name, values in parse_qs(url.query).items()}
-                reply(exchange, kind, query)
+                reply(exchange, cache, query)
                 return True
         return False
 
-    def _list(self, exchange: Exchange, kind: KindRelay, query: dict[str, str]) -> None:
-        snapshot = kind.snapshot(_wait_of(query))
+    def _handle_list(self, exchange: Exchange, cache: WatchCache, query: dict[str, str]) -> None:
+        snapshot = cache.snapshot(_parse_wait(query))
         if snapshot is None:
             exchange.respond(_NOT_FOUND, [], b"")
             return
-        self._respond(exchange, (id(kind), snapshot.revision, snapshot.age), snapshot)
+        self._respond(exchange, (id(cache), snapshot.revision, snapshot.age), snapshot)
 
-    def _watch(self, exchange: Exchange, kind: KindRelay, query: dict[str, str]) -> None:
+    def _handle_watch(self, exchange: Exchange, cache: WatchCache, query: dict[str, str]) -> None:
         since = int(query.get("since", "0"))
-        batch = kind.batch(since, _wait_of(query))
+        batch = cache.changes_since(since, _parse_wait(query))
         if batch is None:
             exchange.respond(_NOT_FOUND, [], b"")
             return
-        self._respond(exchange, (id(kind), since, batch.revision, batch.age), batch)
+        self._respond(exchange, (id(cache), since, batch.revision, batch.age), batch)
 
     def _respond(self, exchange: Exchange, key: tuple, value: Snapshot | WatchBatch) -> None:
         """Send a value; what several peers ask for is encoded once."""
         if key not in self._encoded:
-            while len(self._encoded) >= _ENCODED_KEPT:
+            while len(self._encoded) >= _MAX_ENCODED:
                 self._encoded.pop(next(iter(self._encoded)))
             self._encoded[key] = encode_answer(value)
         headers, body = self._encoded[key]
         exchange.respond(_OK, headers, body)
 
 
-def _wait_of(query: dict[str, str]) -> float:
-    return min(_LONGEST_WAIT, float(query.get("wait", "0")))
+def _parse_wait(query: dict[str, str]) -> float:
+    return min(_MAX_WAIT, float(query.get("wait", "0")))
 
 
-class PeerFeed(ObjectStore):
+class PeerStore(ObjectStore):
     """Lists and watches at a peer's relay; nothing else.
 
     Parameters
     ----------
     address : HostPort
     connections : ConnectionPool
-    moved : callable, optional
+    on_transfer : callable, optional
         See `ask_peer`.
     """
 
@@ -182,17 +182,17 @@
         self,
         address: HostPort,
         connections: ConnectionPool,
-        moved: Callable[[str, HostPort, int], None] | None = None,
+        on_transfer: Callable[[str, HostPort, int], None] | None = None,
     ):
         self.address = address
         self.connections = connections
-        self.moved = moved
+        self.on_transfer = on_transfer
 
     def list(self, kinds: Sequence[str]) -> Result[Snapshot, PlatformFailure]:
         """Read all objects of one kind."""
         (kind,) = kinds
         path = f"{_LIST_PATH}{kind}?wait={_LIST_WAIT:.3f}"
-        return self._ask(path, _LIST_WAIT, Snapshot)
+        return self._get(path, _LIST_WAIT, Snapshot)
 
     def watch(
         self, kinds: Sequence[str], since: int, wait: float
@@ -200,12 +200,12 @@
         """Wait at most `wait` seconds for changes after a revision."""
         (kind,) = kinds
         path = f"{_WATCH_PATH}{kind}?since={since}&wait={wait:.3f}"
-        return self._ask(path, wait, WatchBatch)
+        return self._get(path, wait, WatchBatch)
 
-    def _ask(self, path: str, wait: float, answer_type: type) -> Result:
-        seconds = wait + _PATIENCE
-        answer = ask_peer(
-            self.address, path.encode(), seconds, self.connections, answer_type, self.moved
+    def _get(self, path: str, wait: float, answer_type: type) -> Result:
+        seconds = wait + _REPLY_MARGIN_SECONDS
+        answer = get_from_peer(
+            self.address, path.encode(), seconds, self.connections, answer_type, self.on_transfer
         )
         if answer is None:
             return Failure(PlatformUnavailable("the peer doesn't pass on what it follows"))
--- a/whinrack/edge/_restore_reconciliation.py
+++ b/whinrack/edge/_restore_reconciliation.py
@@ -8,16 +8,16 @@
 
 from whinrack.store import StoredObject, revision_era
 
-__all__ = ["LostEntries"]
+__all__ = ["RestoreReconciler"]
 
 # Entries that are lost are written again within two seconds where their targets live.
-_REWRITTEN_SECONDS = 2.5
+_REWRITE_SECONDS = 2.5
 # Entries of targets that have ended lapse again after three missing heartbeats.
-_LAPSED_SECONDS = 5.0
+_EXPIRY_SECONDS = 5.0
 _SLACK_SECONDS = 0.1
 
 
-class LostEntries:
+class RestoreReconciler:
     """Sorts what the lists of a later era say into what is believed at once, and what later.
 
     Attributes
@@ -30,10 +30,10 @@
     def __init__(self):
         self.ended: set[str] = set()
         self._era: int | None = None
-        self._rewritten_by = float("-inf")
-        self._lapsed_by = float("-inf")
+        self._rewrite_deadline = float("-inf")
+        self._expiry_deadline = float("-inf")
 
-    def learn(self, revision: int, gone: Collection[str], now: float) -> tuple[float, ...]:
+    def observe_list(self, revision: int, gone: Collection[str], now: float) -> tuple[float, ...]:
         """Take in the revision of a list.
 
         Parameters
@@ -53,22 +53,22 @@
         if before is None:
             return ()
         self.ended = set(gone)
-        self._rewritten_by = now + _REWRITTEN_SECONDS
-        self._lapsed_by = now + _LAPSED_SECONDS
-        return _REWRITTEN_SECONDS + _SLACK_SECONDS, _LAPSED_SECONDS + _SLACK_SECONDS
+        self._rewrite_deadline = now + _REWRITE_SECONDS
+        self._expiry_deadline = now + _EXPIRY_SECONDS
+        return _REWRITE_SECONDS + _SLACK_SECONDS, _EXPIRY_SECONDS + _SLACK_SECONDS
 
-    def believed(
+    def reconcile(
         self, listed: Collection[StoredObject], known: Collection[StoredObject], now: float
     ) -> list[StoredObject]:
         """Return the entries to believe, of a list and of what was known before it."""
-        if now >= self._lapsed_by:
+        if now >= self._expiry_deadline:
             self.ended.clear()
-        believed = [stored for stored in listed if stored.name not in self.ended]
-        if now < self._rewritten_by:
+        entries = [stored for stored in listed if stored.name not in self.ended]
+        if now < self._rewrite_deadline:
             names = {stored.name for stored in listed}
-            believed += [
+            entries += [
                 stored
                 for stored in known
                 if stored.name not in names and revision_era(stored.version) < self._era
             ]
-        return believed
+        return entries
--- a/whinrack/edge/_settings_follower.py
+++ b/whinrack/edge/_settings_follower.py
@@ -12,7 +12,7 @@
 __all__ = ["SettingsFollower"]
 
 # How often the settings are read without a signal.
-_SETTINGS_SECONDS = 5.0
+_POLL_SECONDS = 5.0
 
 
 class SettingsFollower:
@@ -24,7 +24,7 @@
         Those in force at the start.
     read : callable
         Reads the settings and returns the `EdgeOptions`; raises `InvalidSettings`.
-    use : callable
+    apply : callable
         Called with the `EdgeOptions` that are in force from now on.
     """
 
@@ -32,11 +32,11 @@
         self,
         options: EdgeOptions,
         read: Callable[[], EdgeOptions],
-        use: Callable[[EdgeOptions], None],
+        apply: Callable[[EdgeOptions], None],
     ):
         self.options = options
         self.read = read
-        self.use = use
+        self.apply = apply
 
     def reload(self) -> None:
         """Put changed settings in force; invalid ones change nothing."""
@@ -45,21 +45,21 @@
         except InvalidSettings as error:
             log_event(Event.SETTINGS_INVALID, error=error.message)
             return
-        self._take(reload_options(self.options, read))
+        self._apply_reloaded(reload_options(self.options, read))
 
     def follow(self) -> None:
         """Notice changes that no signal told, for ever."""
         while True:
-            eventlet.sleep(_SETTINGS_SECONDS)
+            eventlet.sleep(_POLL_SECONDS)
             # Invalid settings are logged when a signal asks for them.
             with contextlib.suppress(InvalidSettings):
                 reloaded = reload_options(self.options, self.read())
                 if reloaded.changed:
-                    self._take(reloaded)
+                    self._apply_reloaded(reloaded)
 
-    def _take(self, reloaded: ReloadedOptions) -> None:
+    def _apply_reloaded(self, reloaded: ReloadedOptions) -> None:
         self.options = reloaded.options
-        self.use(reloaded.options)
+        self.apply(reloaded.options)
         log_event(
             Event.SETTINGS_RELOADED,
             changed=",".join(reloaded.changed) or "nothing",
--- a/whinrack/edge/_store_availability.py
+++ b/whinrack/edge/_store_availability.py
@@ -5,10 +5,10 @@
 from eventlet.event import Event
 from eventlet.timeout import Timeout
 
-__all__ = ["StoreContact"]
+__all__ = ["StoreAvailability"]
 
 
-class StoreContact:
+class StoreAvailability:
     """What the latest call to the store showed.
 
     While the store is away one task probes it; the others wait here and go on as soon
@@ -16,27 +16,27 @@
 
     Parameters
     ----------
-    changed : callable
+    on_change : callable
         Called with True when the store answers again, with False when it is lost.
     """
 
-    def __init__(self, changed: Callable[[bool], None]):
-        self.changed = changed
-        self.answers = True
-        self._back = Event()
+    def __init__(self, on_change: Callable[[bool], None]):
+        self.on_change = on_change
+        self.is_available = True
+        self._recovered = Event()
 
     def report(self, answered: bool) -> None:
         """Take in the outcome of a call."""
-        if answered == self.answers:
+        if answered == self.is_available:
             return
-        self.answers = answered
+        self.is_available = answered
         if answered:
-            back, self._back = self._back, Event()
-            back.send(None)
-        self.changed(answered)
+            recovered, self._recovered = self._recovered, Event()
+            recovered.send(None)
+        self.on_change(answered)
 
-    def wait(self, seconds: float) -> None:
+    def wait_until_available(self, seconds: float) -> None:
         """Return when the store answers again, or after some seconds."""
-        if not self.answers:
+        if not self.is_available:
             with Timeout(seconds, False):
-                self._back.wait()
+                self._recovered.wait()
--- a/whinrack/edge/_suspects.py
+++ b/whinrack/edge/_suspects.py
@@ -9,7 +9,7 @@
 from whinrack.base import rendezvous
 from whinrack.clock import steady
 from whinrack.edge._options import HostPort
-from whinrack.edge._store_availability import StoreContact
+from whinrack.edge._store_availability import StoreAvailability
 from whinrack.gossip import GossipLink, PeerTable, SuspectCases
 from whinrack.observability import Event, Metrics, log_event
 from whinrack.quarantine import Case, CaseStore, Quarantine, QuarantineHost
@@ -18,20 +18,20 @@
 __all__ = ["SuspectExchange"]
 
 # Instances that count the ends of targets under one request; any one of them may be away.
-_OWNERS = 3
+_OWNER_COUNT = 3
 # Cases in one datagram; each is at most some 600 bytes.
-_MOST_IN_MESSAGE = 80
+_MAX_CASES_PER_MESSAGE = 80
 # A peer that knows other cases is told at most so often, seconds.
-_TELL_AGAIN_SECONDS = 0.5
+_RESEND_INTERVAL_SECONDS = 0.5
 # Between two looks at the store while a peer is missed: it may be cut off from here and not from
 # there, and only the store tells what it knows. Then less often, seconds.
-_READ_SECONDS = 2.0
-_RARE_READ_SECONDS = 10.0
-_OFTEN_FOR_SECONDS = 20.0
+_READ_INTERVAL_SECONDS = 2.0
+_SLOW_READ_INTERVAL_SECONDS = 10.0
+_FREQUENT_READ_SECONDS = 20.0
 # After a call that failed.
-_FAILED_PAUSE_SECONDS = 0.5
+_RETRY_SECONDS = 0.5
 # Changes that come in quick succession share a write.
-_GATHER_SECONDS = 0.1
+_WRITE_DELAY_SECONDS = 0.1
 
 
 class SuspectExchange(QuarantineHost):
@@ -42,13 +42,13 @@
     name : str
         This instance.
     store : ObjectStore
-    contact : StoreContact
+    availability : StoreContact
     link : GossipLink
     table : PeerTable
-    wall : callable
+    wall_clock : callable
         Returns the Unix time, seconds.
     metrics : Metrics
-    follows_store : callable
+    is_following_store : callable
         Whether this instance hears from the store itself, not from a peer that does.
     """
 
@@ -56,25 +56,25 @@
         self,
         name: str,
         store: ObjectStore,
-        contact: StoreContact,
+        availability: StoreAvailability,
         link: GossipLink,
         table: PeerTable,
-        wall: Callable[[], float],
+        wall_clock: Callable[[], float],
         metrics: Metrics,
-        follows_store: Callable[[], bool],
+        is_following_store: Callable[[], bool],
     ):
         self.name = name
-        self.contact = contact
+        self.availability = availability
         self.link = link
         self.table = table
         self.metrics = metrics
-        self.follows_store = follows_store
-        self.archive = CaseStore(store, wall)
-        self.quarantine = Quarantine(self.archive, self, wall)
-        self._told_at: dict[HostPort, float] = {}
-        self._unkept = False
+        self.is_following_store = is_following_store
+        self.case_store = CaseStore(store, wall_clock)
+        self.quarantine = Quarantine(self.case_store, self, wall_clock)
+        self._sent_at: dict[HostPort, float] = {}
+        self._has_unsaved = False
         self._changed = Signal()
-        self._read_once = False
+        self._has_read = False
 
     def tasks(self) -> list[Callable[[], None]]:
         """Return the loops to run in the background."""
@@ -88,7 +88,7 @@
             view.state.sender.name: view.state.sender.address
             for view in self.table.live_peers(steady())
         }
-        for name in rendezvous(case.fingerprint, [self.name, *peers])[:_OWNERS]:
+        for name in rendezvous(case.fingerprint, [self.name, *peers])[:_OWNER_COUNT]:
             if name != self.name:
                 self._send([case], peers[name])
 
@@ -98,18 +98,18 @@
             self._send(cases, view.state.sender.address)
 
     def _send(self, cases: list[Case], address: HostPort) -> None:
-        for start in range(0, len(cases), _MOST_IN_MESSAGE):
-            part = cases[start : start + _MOST_IN_MESSAGE]
+        for start in range(0, len(cases), _MAX_CASES_PER_MESSAGE):
+            part = cases[start : start + _MAX_CASES_PER_MESSAGE]
             self.link.send(SuspectCases(self.name, part), address)
 
     # --- from the peers -------------------------------------------------------------
 
     def receive(self, message: SuspectCases, address: HostPort) -> None:
         """Take in what a peer knows, and tell it what it lacks."""
-        lacking = self.quarantine.merge_cases(message.cases, message.sender)
-        self._count()
-        if lacking:
-            self._send(lacking, address)
+        missing_cases = self.quarantine.merge_cases(message.cases, message.sender)
+        self._update_metrics()
+        if missing_cases:
+            self._send(missing_cases, address)
 
     def checksum(self) -> int:
         """Return what two instances that know the same suspects have in common."""
@@ -120,83 +120,83 @@
         if checksum == self.checksum():
             return
         now = steady()
-        if now - self._told_at.get(peer, float("-inf")) < _TELL_AGAIN_SECONDS:
+        if now - self._sent_at.get(peer, float("-inf")) < _RESEND_INTERVAL_SECONDS:
             return
-        self._told_at[peer] = now
+        self._sent_at[peer] = now
         self._send(self.quarantine.table.suspect_cases(), peer)
 
     # --- the store ------------------------------------------------------------------
 
     def reaches_store(self) -> bool:
         """Whether the store answers calls from here."""
-        return self.contact.answers
+        return self.availability.is_available
 
     def schedule_save(self) -> None:
         """Have the suspects written soon."""
-        self._count()
-        self._unkept = True
+        self._update_metrics()
+        self._has_unsaved = True
         if not self._changed.ready():
             self._changed.send(None)
 
-    def keep_again(self) -> None:
+    def schedule_save_after_restore(self) -> None:
         """Have the suspects written once more: the store may have lost them."""
         if self.quarantine.table.suspect_cases():
             self.schedule_save()
 
     def _keep_forever(self) -> None:
         while True:
-            if not self._unkept:
+            if not self._has_unsaved:
                 self._changed.wait()
-            eventlet.sleep(_GATHER_SECONDS)
-            self._changed, self._unkept = Signal(), False
-            self._unkept = not self._write() or self._unkept
-            if self._unkept:
-                eventlet.sleep(_FAILED_PAUSE_SECONDS)
-                self.contact.wait(_RARE_READ_SECONDS)
+            eventlet.sleep(_WRITE_DELAY_SECONDS)
+            self._changed, self._has_unsaved = Signal(), False
+            self._has_unsaved = not self._write() or self._has_unsaved
+            if self._has_unsaved:
+                eventlet.sleep(_RETRY_SECONDS)
+                self.availability.wait_until_available(_SLOW_READ_INTERVAL_SECONDS)
 
     def _write(self) -> bool:
-        stored = self.archive.write(self.quarantine.table.suspect_cases())
+        stored = self.case_store.write(self.quarantine.table.suspect_cases())
         if isinstance(stored, Failure):
-            _log_not_kept("write", stored)
+            _log_store_failure("write", stored)
             return False
         self.quarantine.merge_cases(stored.unwrap(), "store")
         return True
 
     def _read_forever(self) -> None:
         """Read at the start, and while a peer is missed."""
-        missed_since = None
+        missing_since = None
         while True:
             now = steady()
-            missing = bool(self.table.silent_peers(now)) and self.follows_store()
-            missed_since = (missed_since or now) if missing else None
-            if not self._read_once or missing:
-                self._read_once = self._read() or self._read_once
+            missing = bool(self.table.silent_peers(now)) and self.is_following_store()
+            missing_since = (missing_since or now) if missing else None
+            if not self._has_read or missing:
+                self._has_read = self._read() or self._has_read
             self.quarantine.remove_expired()
-            self._count()
-            often = missed_since is None or now - missed_since < _OFTEN_FOR_SECONDS
-            eventlet.sleep(self._pause(often))
+            self._update_metrics()
+            is_frequent = missing_since is None or now - missing_since < _FREQUENT_READ_SECONDS
+            eventlet.sleep(self._read_interval(is_frequent))
 
-    def _pause(self, often: bool) -> float:
-        if not self._read_once:
-            return _FAILED_PAUSE_SECONDS
-        return _READ_SECONDS if often else _RARE_READ_SECONDS
+    def _read_interval(self, is_frequent: bool) -> float:
+        if not self._has_read:
+            return _RETRY_SECONDS
+        return _READ_INTERVAL_SECONDS if is_frequent else _SLOW_READ_INTERVAL_SECONDS
 
     def _read(self) -> bool:
-        if not self.contact.answers:
+        if not self.availability.is_available:
             return False
-        stored = self.archive.read()
+        stored = self.case_store.read()
         if isinstance(stored, Failure):
-            _log_not_kept("read", stored)
+            _log_store_failure("read", stored)
             return False
         self.quarantine.merge_stored_cases(stored.unwrap())
         return True
 
-    def _count(self) -> None:
+    def _update_metrics(self) -> None:
         table = self.quarantine.table
         self.metrics.suspected.set(len(table.suspect_cases()))
         self.metrics.quarantined.set(len(table.blamed_fingerprints()))
 
 
-def _log_not_kept(operation: str, result: Failure) -> None:
+def _log_store_failure(operation: str, result: Failure) -> None:
     failure = result.failure()
     log_event(Event.QUARANTINE_NOT_KEPT, operation=operation, why=failure.message)
--- a/whinrack/edge/_tokens.py
+++ b/whinrack/edge/_tokens.py
@@ -27,11 +27,11 @@
 
 __all__ = ["TokenExchange"]
 
-_ACCOUNT = "account-0000"
+_ACCOUNT_NAME = "account-0000"
 # Orders that arrive within this time share one write, seconds.
-_COLLECT_SECONDS = 0.02
+_BATCH_SECONDS = 0.02
 # Orders that nobody waits for are collected for so long in a large fleet.
-_REPORTS_SECONDS = 0.2
+_REPORT_BATCH_SECONDS = 0.2
 
 
 class TokenExchange:
@@ -65,40 +65,42 @@
         self.link = link
         self.peers = peers
         drawer = AccountWriter(store, Semaphore, self._collect_orders, sleep=eventlet.sleep)
-        self.fleet = DrawCoordinator(
+        self.draw_coordinator = DrawCoordinator(
             options.name, own_state, drawer, link, peers, options.draw_seconds
         )
-        self.spares = GossipTokenSource(holder, link, peers, options.gather_seconds, own_state)
-        self.keeper = GrantManager(
+        self.token_source = GossipTokenSource(
+            holder, link, peers, options.gather_seconds, own_state
+        )
+        self.grant_manager = GrantManager(
             holder,
-            _ACCOUNT,
-            self.fleet,
-            self.spares,
+            _ACCOUNT_NAME,
+            self.draw_coordinator,
+            self.token_source,
             GrantOptions(),
             wall_clock=wall_clock,
             make_lock=Semaphore,
-            isolate=_isolate,
+            isolate=_run_isolated,
         )
 
     def receive(self, message: Message, address: tuple[str, int]) -> None:
         """Take in a peer's message; what may block runs in a green thread of its own."""
         if isinstance(message, TokenReply):
-            self._received(message)
+            self._on_token_reply(message)
         elif isinstance(message, DrawAccepted):
-            self.fleet.handle_acceptance(message)
+            self.draw_coordinator.handle_acceptance(message)
         elif isinstance(message, DrawReply | ReleaseReply):
-            self.fleet.handle_reply(message)
+            self.draw_coordinator.handle_reply(message)
         elif isinstance(message, DrawRequest):
-            eventlet.spawn_n(self.fleet.handle_draw_request, message, address)
+            eventlet.spawn_n(self.draw_coordinator.handle_draw_request, message, address)
         elif isinstance(message, ReleaseRequest):
-            eventlet.spawn_n(self.fleet.handle_release_request, message, address)
+            eventlet.spawn_n(self.draw_coordinator.handle_release_request, message, address)
         elif isinstance(message, TokenRequest) and message.giver == self.holder:
-            eventlet.spawn_n(self._give, message, address)
+            eventlet.spawn_n(self._handle_token_request, message, address)
 
-    def tell_given(self) -> None:
+    def resend_given_totals(self) -> None:
         """Tell the peers once more what they were given: a stop makes it final."""
         by_run = {view.state.incarnation: view for view in self.peers.live_peers(steady())}
-        for given in self.keeper.given_totals():
+        for given in self.grant_manager.given_totals():
             view = by_run.get(given.receiver)
             if view is not None:
                 reply = TokenReply(0, given.budget, self.holder, given.receiver, given.total)
@@ -106,38 +108,38 @@
 
     def _collect_orders(self, batch: OrderBatch) -> None:
         """Wait for others' orders before a write; in a large fleet reports wait longer."""
-        eventlet.sleep(_COLLECT_SECONDS)
+        eventlet.sleep(_BATCH_SECONDS)
         if self.peers.is_full_mesh:
             return
-        end = steady() + _REPORTS_SECONDS
+        end = steady() + _REPORT_BATCH_SECONDS
         while not batch.is_urgent and steady() < end:
-            eventlet.sleep(_COLLECT_SECONDS)
+            eventlet.sleep(_BATCH_SECONDS)
 
-    def _received(self, reply: TokenReply) -> None:
+    def _on_token_reply(self, reply: TokenReply) -> None:
         if reply.receiver == self.holder:
-            self.keeper.receive(reply.budget, reply.giver, reply.total)
-            self.spares.handle_reply(reply)
+            self.grant_manager.receive(reply.budget, reply.giver, reply.total)
+            self.token_source.handle_reply(reply)
 
-    def _give(self, request: TokenRequest, address: tuple[str, int]) -> None:
+    def _handle_token_request(self, request: TokenRequest, address: tuple[str, int]) -> None:
         asked = (request.budget, request.receiver, request.already_received)
         if request.to_supplier:
-            total = self.keeper.give_as_supplier(*asked, request.need, request.want)
+            total = self.grant_manager.give_as_supplier(*asked, request.need, request.want)
         else:
-            total = self.keeper.give(*asked, request.need, request.want, request.allow_draw)
+            total = self.grant_manager.give(*asked, request.need, request.want, request.allow_draw)
         reply = TokenReply(
             request_id=request.request_id,
             budget=request.budget,
             giver=self.holder,
             receiver=request.receiver,
             total=total,
-            unreported_use=self.keeper.unreported_use(request.budget),
+            unreported_use=self.grant_manager.unreported_use(request.budget),
         )
         self.link.send(reply, address)
         if request.to_supplier:
-            self.keeper.draw_for_peer(request.budget, request.need)
+            self.grant_manager.draw_for_peer(request.budget, request.need)
 
 
-def _isolate(function: Callable, seconds: float | None):
+def _run_isolated(function: Callable, seconds: float | None):
     """Run to the end in a green thread of its own, whatever happens to the waiter."""
     with eventlet.Timeout(seconds, False):
         return eventlet.spawn(function).wait()
--- a/whinrack/edge/_traffic.py
+++ b/whinrack/edge/_traffic.py
@@ -6,10 +6,10 @@
 
 from whinrack.edge._options import HostPort
 
-__all__ = ["Place", "TrafficMeter"]
+__all__ = ["Locality", "TrafficMeter"]
 
 
-class Place(Enum):
+class Locality(Enum):
     """Where the other instance is."""
 
     OWN_HALL = "own_hall"
@@ -29,7 +29,7 @@
         The data hall of this instance.
     hall_of : callable
         Returns the data hall of the instance at an IP address, None if it isn't known.
-    count : callable
+    count_bytes : callable
         Called with the name of the message, its `Place` and its bytes.
     """
 
@@ -37,38 +37,38 @@
         self,
         own_hall: str,
         hall_of: Callable[[str], str | None],
-        count: Callable[[str, Place, int], None],
+        count_bytes: Callable[[str, Locality, int], None],
     ):
         self.own_hall = own_hall
         self.hall_of = hall_of
-        self.count = count
-        self.messages: Counter[tuple[str, Place]] = Counter()
-        self.bytes: Counter[tuple[str, Place]] = Counter()
+        self.count_bytes = count_bytes
+        self.messages: Counter[tuple[str, Locality]] = Counter()
+        self.bytes: Counter[tuple[str, Locality]] = Counter()
 
-    def moved(self, name: str, address: HostPort, size: int) -> None:
+    def record(self, name: str, address: HostPort, size: int) -> None:
         """Count a message to the instance at an address, or an answer from it."""
-        self.moved_to_hall(name, self.hall_of(address[0]), size)
+        self.record_for_hall(name, self.hall_of(address[0]), size)
 
-    def moved_to_hall(self, name: str, hall: str | None, size: int) -> None:
+    def record_for_hall(self, name: str, hall: str | None, size: int) -> None:
         """Count a message to a data hall, or one from there; None if it isn't known."""
-        place = self._place(hall)
-        self.messages[name, place] += 1
-        self.bytes[name, place] += size
-        self.count(name, place, size)
+        locality = self._locality(hall)
+        self.messages[name, locality] += 1
+        self.bytes[name, locality] += size
+        self.count_bytes(name, locality, size)
 
     def summary(self) -> str:
         """Return messages and bytes as text, for the log."""
         return " ".join(
-            f"{name}/{place.value}:{self.messages[name, place]}:{size}"
-            for (name, place), size in sorted(self.bytes.items(), key=_by_name)
+            f"{name}/{locality.value}:{self.messages[name, locality]}:{size}"
+            for (name, locality), size in sorted(self.bytes.items(), key=_name_and_locality)
         )
 
-    def _place(self, hall: str | None) -> Place:
+    def _locality(self, hall: str | None) -> Locality:
         if hall is None:
-            return Place.UNKNOWN
-        return Place.OWN_HALL if hall == self.own_hall else Place.OTHER_HALL
+            return Locality.UNKNOWN
+        return Locality.OWN_HALL if hall == self.own_hall else Locality.OTHER_HALL
 
 
-def _by_name(item: tuple[tuple[str, Place], int]) -> tuple[str, str]:
-    (name, place), _ = item
-    return name, place.value
+def _name_and_locality(item: tuple[tuple[str, Locality], int]) -> tuple[str, str]:
+    (name, locality), _ = item
+    return name, locality.value
--- a/whinrack/edge/_upkeep.py
+++ b/whinrack/edge/_upkeep.py
@@ -10,8 +10,8 @@
 
 __all__ = ["Upkeep"]
 
-_PUMP_SECONDS = 0.1
-_TRAFFIC_LOG_SECONDS = 20.0
+_WRITE_INTERVAL_SECONDS = 0.1
+_TRAFFIC_LOG_INTERVAL_SECONDS = 20.0
 
 
 class Upkeep:
@@ -34,7 +34,7 @@
         self.link = link
         self._reported_drops = 0
 
-    def pump_forever(self) -> None:
+    def write_logs_forever(self) -> None:
         """Write what waits; tell of lines that were left out and of sleeps of the machine."""
         sleep_watch = SleepWatch()
         while True:
@@ -45,12 +45,12 @@
             if self.output.dropped > self._reported_drops:
                 log_event(Event.LINES_DROPPED, count=self.output.dropped - self._reported_drops)
                 self._reported_drops = self.output.dropped
-            eventlet.sleep(_PUMP_SECONDS)
+            eventlet.sleep(_WRITE_INTERVAL_SECONDS)
 
     def log_traffic_forever(self) -> None:
         """Tell now and then what moved."""
         while True:
-            eventlet.sleep(_TRAFFIC_LOG_SECONDS)
+            eventlet.sleep(_TRAFFIC_LOG_INTERVAL_SECONDS)
             self.log_traffic()
 
     def log_traffic(self) -> None:
--- a/whinrack/edge/_upstream_selection.py
+++ b/whinrack/edge/_upstream_selection.py
@@ -7,31 +7,31 @@
 
 from whinrack.base import rendezvous
 from whinrack.clock import steady
-from whinrack.edge._kind_follower import FollowedSource, SourcePlan
+from whinrack.edge._kind_follower import Upstream, UpstreamSelector
 from whinrack.edge._options import HostPort
-from whinrack.edge._relay import PeerFeed
-from whinrack.edge._store_availability import StoreContact
+from whinrack.edge._relay import PeerStore
+from whinrack.edge._store_availability import StoreAvailability
 from whinrack.gossip import PeerState, PeerTable, prefer_high_capacity
 from whinrack.http1 import ConnectionPool
 from whinrack.store import ObjectStore
 
-__all__ = ["FeedPlan", "choose_feeders", "choose_following_halls"]
+__all__ = ["FleetUpstreamSelector", "choose_relays", "choose_store_halls"]
 
 # Instances of each data hall that feed the others. The first of them follows the store, or another
 # hall's; the second is fed by it, and takes its place as soon as the first one doesn't answer.
-_FEEDERS_OF_A_HALL = 2
+_RELAYS_PER_HALL = 2
 # For so many instances one data hall follows the store; the other halls are fed by it. With each
 # hall following, 24 instances in five halls made 1,304 calls in a day of 68 s, and 718 with two.
-_INSTANCES_OF_A_FOLLOWER = 40
+_INSTANCES_PER_STORE_HALL = 40
 # At least, since only instances that the store answered lately write the books.
-_FEWEST_FOLLOWING_HALLS = 2
+_MIN_STORE_HALLS = 2
 # For so long a peer that didn't answer isn't asked again, seconds.
 _AVOID_SECONDS = 3.0
 # Between two looks at whether peers are known.
 _POLL_SECONDS = 0.02
 
 
-def choose_feeders(states: list[PeerState], hall: str) -> list[PeerState]:
+def choose_relays(states: list[PeerState], hall: str) -> list[PeerState]:
     """Return the instances of a data hall that feed the others there, in order.
 
     While the store answers nobody, the choice doesn't depend on who has noticed that: else one
@@ -49,10 +49,10 @@
         ready = [state for state in ready if state.store_answers] or ready
     by_name = {state.sender.name: state for state in prefer_high_capacity(ready)}
     ordered = rendezvous(f"watch/{hall}", by_name)
-    return [by_name[name] for name in ordered[:_FEEDERS_OF_A_HALL]]
+    return [by_name[name] for name in ordered[:_RELAYS_PER_HALL]]
 
 
-def choose_following_halls(states: list[PeerState]) -> list[str]:
+def choose_store_halls(states: list[PeerState]) -> list[str]:
     """Return the data halls whose first feeders follow the store, in a fixed order.
 
     Parameters
@@ -63,11 +63,11 @@
     halls = {state.data_hall for state in states}
     if any(state.store_confirmed for state in states):
         halls = {state.data_hall for state in states if state.store_answers} or halls
-    count = max(_FEWEST_FOLLOWING_HALLS, math.ceil(len(states) / _INSTANCES_OF_A_FOLLOWER))
+    count = max(_MIN_STORE_HALLS, math.ceil(len(states) / _INSTANCES_PER_STORE_HALL))
     return rendezvous("following halls", halls)[:count]
 
 
-class FeedPlan(SourcePlan):
+class FleetUpstreamSelector(UpstreamSelector):
     """In a large fleet one instance of each data hall feeds the others there.
 
     It follows the store itself, or in a fleet of some tens is fed by one in another hall that does.
@@ -77,11 +77,11 @@
     Parameters
     ----------
     store : ObjectStore
-    contact : StoreContact
+    availability : StoreContact
     own_state : callable
         Returns what this instance says of itself.
     peers : PeerTable
-    moved : callable, optional
+    on_transfer : callable, optional
         See `ask_peer`.
     settle_seconds : float, optional
         Time after the start in which peers may make themselves known; until then the store
@@ -91,24 +91,24 @@
     def __init__(
         self,
         store: ObjectStore,
-        contact: StoreContact,
+        availability: StoreAvailability,
         own_state: Callable[[], PeerState],
         peers: PeerTable,
-        moved: Callable[[str, HostPort, int], None] | None = None,
+        on_transfer: Callable[[str, HostPort, int], None] | None = None,
         settle_seconds: float = 0.0,
     ):
         super().__init__(store)
-        self.contact = contact
+        self.availability = availability
         self.own_state = own_state
         self.peers = peers
-        self.moved = moved
+        self.on_transfer = on_transfer
         self.settle_seconds = settle_seconds
         self._connections = ConnectionPool()
-        self._avoided: dict[HostPort, float] = {}
-        self._avoided_halls: dict[str, float] = {}
-        self._store_until = float("-inf")
+        self._avoided_until: dict[HostPort, float] = {}
+        self._halls_avoided_until: dict[str, float] = {}
+        self._store_preferred_until = float("-inf")
 
-    def settle(self) -> None:
+    def wait_for_peers(self) -> None:
         """Wait until the peers are known, or so much time has passed that there may be none.
 
         Without it each instance of a large fleet follows the store itself at first: 3,670 of
@@ -118,30 +118,32 @@
         while self.peers.is_full_mesh and steady() < end:
             eventlet.sleep(_POLL_SECONDS)
 
-    def store_may_answer(self) -> bool:
+    def is_store_likely_available(self) -> bool:
         """Whether a peer has heard from the store lately."""
         return bool(self.peers.peers_with_store(steady()))
 
-    def source(self) -> FollowedSource:
+    def select(self) -> Upstream:
         """Return whom to ask next."""
         now = steady()
-        if self.peers.is_full_mesh or (self.contact.answers and now < self._store_until):
-            return FollowedSource(self.store)
-        feeder = self._feeder(now)
-        if feeder is None:
-            return FollowedSource(self.store)
-        address = feeder.sender.address
-        return FollowedSource(PeerFeed(address, self._connections, self.moved), address)
-
-    def failed(self, source: FollowedSource) -> None:
+        if self.peers.is_full_mesh or (
+            self.availability.is_available and now < self._store_preferred_until
+        ):
+            return Upstream(self.store)
+        relay = self._choose_relay(now)
+        if relay is None:
+            return Upstream(self.store)
+        address = relay.sender.address
+        return Upstream(PeerStore(address, self._connections, self.on_transfer), address)
+
+    def report_failure(self, upstream: Upstream) -> None:
         """Learn that a peer didn't answer; another hall's may be cut off with all of that hall."""
         now = steady()
-        self._avoided[source.address] = now + _AVOID_SECONDS
-        hall = self._hall_of(source.address, now)
+        self._avoided_until[upstream.address] = now + _AVOID_SECONDS
+        hall = self._data_hall_of(upstream.address, now)
         if hall is not None and hall != self.own_state().data_hall:
-            self._avoided_halls[hall] = now + _AVOID_SECONDS
+            self._halls_avoided_until[hall] = now + _AVOID_SECONDS
 
-    def behind(self, source: FollowedSource) -> None:
+    def report_stale(self, upstream: Upstream) -> None:
         """Leave a peer that passes on old knowledge though it says that it reaches the store.
 
         One that says that it lost the store is kept: others are chosen as watchers by that
@@ -149,42 +151,44 @@
         """
         live = self.peers.live_peers(steady())
         states = {view.state.sender.address: view.state for view in live}
-        state = states.get(source.address)
+        state = states.get(upstream.address)
         if state is None or state.store_answers:
-            self.failed(source)
+            self.report_failure(upstream)
 
-    def follow_store(self) -> None:
+    def prefer_store(self) -> None:
         """Follow the store for a while; others that can't reach it are fed from here then."""
-        self._store_until = steady() + _AVOID_SECONDS
+        self._store_preferred_until = steady() + _AVOID_SECONDS
 
-    def _feeder(self, now: float) -> PeerState | None:
+    def _choose_relay(self, now: float) -> PeerState | None:
         """Return the peer that feeds this instance, None if it follows the store."""
         own = self.own_state()
         states = [view.state for view in self.peers.live_peers(now)]
-        usable = [state for state in states if self._avoided.get(state.sender.address, 0.0) <= now]
-        feeders = {
-            state.sender.name: state for state in choose_feeders([*usable, own], own.data_hall)
+        usable = [
+            state for state in states if self._avoided_until.get(state.sender.address, 0.0) <= now
+        ]
+        relays = {
+            state.sender.name: state for state in choose_relays([*usable, own], own.data_hall)
         }
-        first = next(iter(feeders.values()))
+        first = next(iter(relays.values()))
         if first is own:
-            return self._feeder_elsewhere([*usable, own], own.data_hall, now)
-        if own.sender.name in feeders:
+            return self._choose_remote_relay([*usable, own], own.data_hall, now)
+        if own.sender.name in relays:
             return first
-        return feeders[rendezvous(own.sender.name, feeders)[0]]
+        return relays[rendezvous(own.sender.name, relays)[0]]
 
-    def _feeder_elsewhere(
+    def _choose_remote_relay(
         self, states: list[PeerState], own_hall: str, now: float
     ) -> PeerState | None:
         """Return who feeds the first feeder of this hall, None if that one follows the store."""
-        halls = choose_following_halls(states)
+        halls = choose_store_halls(states)
         if own_hall in halls:
             return None
         for hall in rendezvous(own_hall, halls):
-            if self._avoided_halls.get(hall, 0.0) <= now:
-                return choose_feeders(states, hall)[0]
+            if self._halls_avoided_until.get(hall, 0.0) <= now:
+                return choose_relays(states, hall)[0]
         return None
 
-    def _hall_of(self, address: HostPort, now: float) -> str | None:
+    def _data_hall_of(self, address: HostPort, now: float) -> str | None:
         """Return the data hall of the live peer at an address, None if there is none."""
         halls = {
             view.state.sender.address: view.state.data_hall for view in self.peers.live_peers(now)
--- a/whinrack/edge/_warm_up_log.py
+++ b/whinrack/edge/_warm_up_log.py
@@ -11,7 +11,7 @@
 __all__ = ["WarmUpLog"]
 
 # Between two looks; a line a pool at most for each.
-_LOOK_SECONDS = 1.0
+_UPDATE_INTERVAL_SECONDS = 1.0
 
 
 class WarmUpLog:
@@ -20,36 +20,41 @@
     Parameters
     ----------
     registry : TargetRegistry
-    directory : Directory
+    current_configuration : Directory
     metrics : Metrics
     """
 
-    def __init__(self, registry: TargetRegistry, directory: CurrentConfiguration, metrics: Metrics):
+    def __init__(
+        self,
+        registry: TargetRegistry,
+        current_configuration: CurrentConfiguration,
+        metrics: Metrics,
+    ):
         self.registry = registry
-        self.directory = directory
+        self.current_configuration = current_configuration
         self.metrics = metrics
-        self._told: dict[str, frozenset[str]] = {}
+        self._logged: dict[str, frozenset[str]] = {}
 
     def run(self) -> None:
         """Look for ever."""
         while True:
-            eventlet.sleep(_LOOK_SECONDS)
-            self.look()
+            eventlet.sleep(_UPDATE_INTERVAL_SECONDS)
+            self.update()
 
-    def look(self) -> None:
+    def update(self) -> None:
         """Log what has changed since the last look."""
         self.metrics.emptied_halls.set(len(self.registry.emptied_halls.names))
-        pools = self.directory.pools
-        self.metrics.cold_targets.set(sum(map(self._look_at, pools)))
+        pools = self.current_configuration.pools
+        self.metrics.cold_targets.set(sum(map(self._update_pool, pools)))
 
-    def _look_at(self, pool: PoolRecord) -> int:
+    def _update_pool(self, pool: PoolRecord) -> int:
         """Return how many targets of a pool are cold."""
         if pool.cold_start is None:
             return 0
         states = self.registry.cold_targets(pool.name, pool.cold_start, steady())
         names = frozenset(state.record.identity for state in states)
-        if names != self._told.get(pool.name, frozenset()):
-            self._told[pool.name] = names
+        if names != self._logged.get(pool.name, frozenset()):
+            self._logged[pool.name] = names
             bound = self.registry.rate_limiter.warm_up_limits.rate_bound(pool.cold_start.rate)
             shares = self.registry.rate_permits.held_shares(dict.fromkeys(names, bound)).values()
             log_event(
--- a/whinrack/edge/tests/peer_world.py
+++ b/whinrack/edge/tests/fake_peers.py
@@ -5,7 +5,7 @@
 from whinrack.edge import EdgeOptions
 from whinrack.gossip import Heartbeat, PeerAddress, PeerState, PeerTable
 
-__all__ = ["OPTIONS", "PeerWorld", "ready_state"]
+__all__ = ["OPTIONS", "FakePeers", "ready_state"]
 
 OPTIONS = EdgeOptions(
     name="a",
@@ -34,7 +34,7 @@
     return msgspec.structs.replace(state, **fields)
 
 
-class PeerWorld:
+class FakePeers:
     """The table, and peers that are heard; `module` is the one whose clock is set."""
 
     def __init__(self, monkeypatch, module):
--- a/whinrack/edge/tests/test_knowledge.py
+++ b/whinrack/edge/tests/test_knowledge.py
@@ -9,11 +9,11 @@
 
 from standins.memory_store import MemoryStore
 from whinrack.dispatch import Configuration, CurrentConfiguration, TargetRecord, TargetRegistry
-from whinrack.edge._kind_follower import FollowedSource, SourcePlan
+from whinrack.edge._kind_follower import Upstream, UpstreamSelector
 from whinrack.edge._knowledge import StoreKnowledge
 from whinrack.edge._knowledge_exchange import KnowledgeServer, SharedKnowledge, fetch_knowledge
 from whinrack.edge._readers import ConfigurationReader, TargetReader
-from whinrack.edge._store_availability import StoreContact
+from whinrack.edge._store_availability import StoreAvailability
 from whinrack.exceptions import PlatformUnavailable
 from whinrack.gossip import RemovedTarget
 from whinrack.http1 import ServerLimits
@@ -46,135 +46,135 @@
     return StoredObject(kind, name, version, msgspec.Raw(msgspec.json.encode(value)))
 
 
-def told(version=None, *targets):
+def knowledge_of(version=None, *targets):
     configuration = None if version is None else stored("config", "main", version)
     return SharedKnowledge(configuration, tuple(stored("target", t, "ready") for t in targets))
 
 
-class World:
+class Harness:
     """One instance's knowledge, and what its peer answers."""
 
-    def __init__(self, store, plan=None):
+    def __init__(self, store, upstreams=None):
         self.answer = None
-        self.directory = CurrentConfiguration(lambda configuration: None)
+        self.current_configuration = CurrentConfiguration(lambda configuration: None)
         self.registry = TargetRegistry()
-        self.contact = StoreContact(lambda answers: None)
+        self.availability = StoreAvailability(lambda answers: None)
         self.knowledge = StoreKnowledge(
             store,
-            self.contact,
+            self.availability,
             Configurations(),
             Targets(),
-            self.directory,
+            self.current_configuration,
             self.registry,
-            plan or SourcePlan(store),
+            upstreams or UpstreamSelector(store),
             watch_seconds=0.01,
             peer_with_store=lambda: PEER,
             fetch=lambda address: self.answer,
         )
 
-    def hear(self, answer):
+    def fetch_from_peer(self, answer):
         self.answer = answer
-        self.knowledge._catch_up(PEER)
+        self.knowledge._fetch_from_peer(PEER)
 
     def targets(self):
         return {state.record.incarnation for state in self.registry.targets_in_pool("pool")}
 
 
 @pytest.fixture
-def world(monkeypatch):
-    monkeypatch.setattr("whinrack.edge._knowledge._FAILED_READ_PAUSE", 0.0)
-    return World(DownStore())
+def harness(monkeypatch):
+    monkeypatch.setattr("whinrack.edge._knowledge._READ_RETRY_SECONDS", 0.0)
+    return Harness(DownStore())
 
 
-def test_an_instance_that_starts_without_the_store_learns_from_a_peer(world):
-    world.hear(told(7, "t1", "t2"))
-    assert world.directory.version == 7
-    assert world.targets() == {"t1", "t2"}
+def test_an_instance_that_starts_without_the_store_fetches_from_a_peer(harness):
+    harness.fetch_from_peer(knowledge_of(7, "t1", "t2"))
+    assert harness.current_configuration.version == 7
+    assert harness.targets() == {"t1", "t2"}
 
 
-def test_an_older_configuration_of_a_peer_changes_nothing(world):
-    world.hear(told(7))
-    world.hear(told(6))
-    assert world.directory.version == 7
+def test_an_older_configuration_of_a_peer_changes_nothing(harness):
+    harness.fetch_from_peer(knowledge_of(7))
+    harness.fetch_from_peer(knowledge_of(6))
+    assert harness.current_configuration.version == 7
 
 
-def test_without_an_answer_of_the_peer_the_store_is_read():
+def test_the_store_is_read_when_the_peer_does_not_answer():
     store = MemoryStore()
     store.put("config", "main", b"9", 0)
-    world = World(store)
-    world.hear(None)
-    assert world.directory.version == 9
+    harness = Harness(store)
+    harness.fetch_from_peer(None)
+    assert harness.current_configuration.version == 9
 
 
 def test_targets_of_a_peer_do_not_replace_what_the_store_lists():
     store = MemoryStore()
     store.put("target", "t1", b'"ready"', 0)
-    world = World(store)
-    world.knowledge._target_list.step()
-    world.hear(told(7, "t1", "t2"))
-    assert world.targets() == {"t1"}
+    harness = Harness(store)
+    harness.knowledge._target_follower.poll()
+    harness.fetch_from_peer(knowledge_of(7, "t1", "t2"))
+    assert harness.targets() == {"t1"}
 
 
-def test_while_the_store_is_away_new_targets_are_learnt_and_gone_ones_stay_gone():
+def test_peers_add_targets_but_do_not_restore_deleted_ones_during_an_outage():
     store = MemoryStore()
     for name in ("t1", "t2"):
         store.put("target", name, b'"ready"', 0)
-    world = World(store)
-    world.knowledge._target_list.step()
-    world.knowledge._change_targets((StoredObject("target", "t2", 9, deleted=True),))
-    world.contact.report(False)
-    world.hear(told(7, "t1", "t2", "t3"))
-    assert world.targets() == {"t1", "t3"}
+    harness = Harness(store)
+    harness.knowledge._target_follower.poll()
+    harness.knowledge._on_target_changes((StoredObject("target", "t2", 9, deleted=True),))
+    harness.availability.report(False)
+    harness.fetch_from_peer(knowledge_of(7, "t1", "t2", "t3"))
+    assert harness.targets() == {"t1", "t3"}
 
 
-def test_knowledge_is_passed_on_as_it_was_learnt(world):
-    world.hear(told(7, "t1"))
-    server = KnowledgeServer(("127.0.0.1", 0), world.knowledge.shared)
+def test_knowledge_is_served_unchanged(harness):
+    harness.fetch_from_peer(knowledge_of(7, "t1"))
+    server = KnowledgeServer(("127.0.0.1", 0), harness.knowledge.shared)
     server.start()
     fetched = fetch_knowledge(server.address)
     assert fetched.configuration.value == msgspec.Raw(b"7")
     assert [target.name for target in fetched.targets] == ["t1"]
 
 
-def test_a_peer_that_does_not_listen_tells_nothing():
+def test_fetching_from_a_stopped_peer_returns_none():
     server = KnowledgeServer(("127.0.0.1", 0), SharedKnowledge)
     server.start()
     server.stop()
     assert fetch_knowledge(server.address) is None
 
 
-def known_world(*names):
+def harness_with(*names):
     """An instance that has listed some targets, at versions 1, 2 and so on."""
     store = MemoryStore()
     for name in names:
         store.put("target", name, b'"ready"', 0)
-    world = World(store)
-    world.knowledge._target_list.step()
-    return world
+    harness = Harness(store)
+    harness.knowledge._target_follower.poll()
+    return harness
 
 
-def test_what_a_peer_knows_to_be_gone_takes_no_work_here():
-    world = known_world("t1", "t2")
-    world.knowledge.learn_gone([RemovedTarget("t2", 2), RemovedTarget("unknown", 9)])
-    assert world.targets() == {"t1"}
+def test_a_target_that_a_peer_reports_gone_is_removed():
+    harness = harness_with("t1", "t2")
+    harness.knowledge.merge_removed([RemovedTarget("t2", 2), RemovedTarget("unknown", 9)])
+    assert harness.targets() == {"t1"}
 
 
-def test_a_target_whose_record_is_back_is_not_gone():
-    world = known_world("t1")
-    world.knowledge.learn_gone([RemovedTarget("t1", 0)])
-    assert world.targets() == {"t1"}
+def test_an_older_report_does_not_remove_a_newer_record():
+    harness = harness_with("t1")
+    harness.knowledge.merge_removed([RemovedTarget("t1", 0)])
+    assert harness.targets() == {"t1"}
 
 
-def test_peers_are_told_for_a_while_what_has_gone(monkeypatch):
-    world, now = known_world("t1", "t2"), [100.0]
+def test_gone_targets_are_advertised_for_a_limited_time(monkeypatch):
+    harness, now = harness_with("t1", "t2"), [100.0]
     monkeypatch.setattr("whinrack.edge._knowledge.steady", lambda: now[0])
-    world.knowledge._change_targets((StoredObject("target", "t2", 7, deleted=True),))
-    assert world.knowledge.gone_lately() == [RemovedTarget("t2", 7)]
+    harness.knowledge._on_target_changes((StoredObject("target", "t2", 7, deleted=True),))
+    assert harness.knowledge.recently_removed() == [RemovedTarget("t2", 7)]
     now[0] += 5.0
-    assert world.knowledge.gone_lately() == []
+    assert harness.knowledge.recently_removed() == []
 
 
-class Peer(MemoryStore):
+class QuietPeer(MemoryStore):
     """A peer that has no news."""
 
     def watch(self, kinds, since, wait):
@@ -183,80 +183,80 @@
 
 
 @contextlib.contextmanager
-def running(world):
+def running(harness):
     """Run the loops of an instance meanwhile."""
-    tasks = [eventlet.spawn(task) for task in world.knowledge.tasks()]
+    tasks = [eventlet.spawn(task) for task in harness.knowledge.tasks()]
     yield
     for task in tasks:
         task.kill()
 
 
-class FedPlan(SourcePlan):
+class PeerSelector(UpstreamSelector):
     """A plan that always sends to a peer."""
 
-    def source(self):
-        return FollowedSource(Peer(), PEER)
+    def select(self):
+        return Upstream(QuietPeer(), PEER)
 
 
-def test_an_instance_that_lost_the_store_asks_it_again_though_peers_feed_it():
+def test_an_instance_that_follows_a_peer_still_probes_an_unavailable_store():
     """Otherwise it counts it as lost for good, and nobody is left that asks it."""
     store = MemoryStore()
-    world = World(store, FedPlan(store))
-    world.contact.report(False)
-    with running(world):
-        world.contact.wait(3.0)
-    assert world.contact.answers
+    harness = Harness(store, PeerSelector(store))
+    harness.availability.report(False)
+    with running(harness):
+        harness.availability.wait_until_available(3.0)
+    assert harness.availability.is_available
 
 
-def test_a_lost_store_is_asked_at_once_when_peers_hear_from_it_again():
+def test_the_store_is_probed_at_once_when_a_peer_reaches_it_again():
     store = MemoryStore()
-    world = World(store, FedPlan(store))
-    world.contact.report(False)
-    with running(world):
+    harness = Harness(store, PeerSelector(store))
+    harness.availability.report(False)
+    with running(harness):
         eventlet.sleep(0.05)
-        world.knowledge.hear_of_store()
-        world.contact.wait(0.4)
-    assert world.contact.answers
+        harness.knowledge.handle_store_reachable()
+        harness.availability.wait_until_available(0.4)
+    assert harness.availability.is_available
 
 
-class OnceSilentStore(MemoryStore):
+class FirstCallFailingStore(MemoryStore):
     """Doesn't answer the first question."""
 
     def __init__(self):
         super().__init__()
-        self.asked = 0
+        self.watch_calls = 0
 
     def watch(self, kinds, since, wait):
-        self.asked += 1
-        if self.asked > 1:
+        self.watch_calls += 1
+        if self.watch_calls > 1:
             return super().watch(kinds, since, wait)
         eventlet.sleep(0.2)
         return Failure(PlatformUnavailable("silent"))
 
 
-def test_word_of_the_store_that_comes_while_it_is_asked_in_vain_is_not_lost():
-    store = OnceSilentStore()
-    world = World(store, FedPlan(store))
-    world.contact.report(False)
-    with running(world):
+def test_a_notification_during_a_failing_probe_is_not_lost():
+    store = FirstCallFailingStore()
+    harness = Harness(store, PeerSelector(store))
+    harness.availability.report(False)
+    with running(harness):
         eventlet.sleep(0.02)
         for _ in range(2):
-            world.knowledge.hear_of_store()
+            harness.knowledge.handle_store_reachable()
             eventlet.sleep(0.05)
-        world.contact.wait(0.5)
-    assert world.contact.answers
+        harness.availability.wait_until_available(0.5)
+    assert harness.availability.is_available
 
 
-def test_an_older_record_of_a_peer_is_neither_taken_nor_passed_on():
-    world = known_world("t1")
-    world.knowledge._change_targets((stored("target", "t1", "leaving", version=5),))
-    world.contact.report(False)
-    world.hear(told(7, "t1"))
-    (passed_on,) = world.knowledge.shared().targets
+def test_an_older_record_of_a_peer_is_neither_applied_nor_forwarded():
+    harness = harness_with("t1")
+    harness.knowledge._on_target_changes((stored("target", "t1", "leaving", version=5),))
+    harness.availability.report(False)
+    harness.fetch_from_peer(knowledge_of(7, "t1"))
+    (passed_on,) = harness.knowledge.shared().targets
     assert (passed_on.version, bytes(passed_on.value)) == (5, b'"leaving"')
 
 
-def test_a_configuration_with_fields_that_are_left_out_is_taken_and_counted(world, monkeypatch):
+def test_a_configuration_with_ignored_fields_is_applied_and_counted(harness, monkeypatch):
     read = Configurations.read
 
     def with_ignored(reader, stored):
@@ -266,19 +266,19 @@
 
     invalid = []
     monkeypatch.setattr(Configurations, "read", with_ignored)
-    monkeypatch.setattr(world.knowledge, "count_invalid", invalid.append)
-    world.hear(told(7))
-    assert (world.directory.version, invalid) == (7, ["config"])
+    monkeypatch.setattr(harness.knowledge, "count_invalid", invalid.append)
+    harness.fetch_from_peer(knowledge_of(7))
+    assert (harness.current_configuration.version, invalid) == (7, ["config"])
 
 
 def entries(era, *names):
     return tuple(stored("target", n, "ready", compose_revision(era, 3)) for n in names)
 
 
-def listed(world, era, *names):
+def apply_list(harness, era, *names):
     revision = compose_revision(era, 9)
-    world.knowledge._target_list.relay.listed(revision, entries(era, *names))
-    world.knowledge._replace_targets(entries(era, *names), revision)
+    harness.knowledge._target_follower.cache.replace(revision, entries(era, *names))
+    harness.knowledge._on_target_list(entries(era, *names), revision)
 
 
 @pytest.fixture
@@ -288,41 +288,41 @@
     return now
 
 
-def test_a_target_that_the_copy_lacks_is_in_use_until_it_has_had_time_to_be_written(world, clock):
-    listed(world, 1, "old", "young")
-    listed(world, 2, "old")
-    assert world.targets() == {"old", "young"}
+def test_a_target_missing_from_the_restored_store_is_kept_for_a_grace_period(harness, clock):
+    apply_list(harness, 1, "old", "young")
+    apply_list(harness, 2, "old")
+    assert harness.targets() == {"old", "young"}
     clock[0] += 2.7
-    world.knowledge._look_again()
-    assert world.targets() == {"old"}
+    harness.knowledge._reapply_target_list()
+    assert harness.targets() == {"old"}
 
 
-def test_a_target_that_had_gone_was_in_use_again_with_the_copy(world, clock):
-    listed(world, 1, "old", "ended")
-    listed(world, 1, "old")
-    listed(world, 2, "old", "ended")
-    assert world.targets() == {"old"}
+def test_a_deleted_target_in_the_restored_store_is_ignored_until_it_expires(harness, clock):
+    apply_list(harness, 1, "old", "ended")
+    apply_list(harness, 1, "old")
+    apply_list(harness, 2, "old", "ended")
+    assert harness.targets() == {"old"}
     clock[0] += 2.7
-    world.knowledge._look_again()
-    assert world.targets() == {"old"}
+    harness.knowledge._reapply_target_list()
+    assert harness.targets() == {"old"}
     clock[0] += 2.5
-    world.knowledge._look_again()
-    assert world.targets() == {"old", "ended"}
+    harness.knowledge._reapply_target_list()
+    assert harness.targets() == {"old", "ended"}
 
 
-def test_a_target_that_had_gone_and_is_written_again_is_in_use(world, clock):
-    listed(world, 1, "back")
-    listed(world, 1)
-    listed(world, 2, "back")
+def test_a_deleted_target_that_is_written_again_is_used(harness, clock):
+    apply_list(harness, 1, "back")
+    apply_list(harness, 1)
+    apply_list(harness, 2, "back")
     again = stored("target", "back", "ready", compose_revision(2, 10))
-    world.knowledge._change_targets((again,))
-    assert world.targets() == {"back"}
+    harness.knowledge._on_target_changes((again,))
+    assert harness.targets() == {"back"}
 
 
-def test_a_peer_that_is_in_an_earlier_era_takes_nothing_back(world):
-    listed(world, 2, "t")
+def test_a_peer_in_an_earlier_era_changes_nothing(harness):
+    apply_list(harness, 2, "t")
     late = stored("target", "t", "leaving", compose_revision(1, 99))
-    world.knowledge._change_targets((late,), "peer")
-    world.knowledge.learn_gone([RemovedTarget("t", compose_revision(1, 99))])
-    assert world.targets() == {"t"}
-    assert not world.registry.leaving_records()
+    harness.knowledge._on_target_changes((late,), "peer")
+    harness.knowledge.merge_removed([RemovedTarget("t", compose_revision(1, 99))])
+    assert harness.targets() == {"t"}
+    assert not harness.registry.leaving_records()
--- a/whinrack/edge/tests/test_membership.py
+++ b/whinrack/edge/tests/test_membership.py
@@ -24,31 +24,31 @@
     """An instance at rest."""
 
     def __init__(self):
-        self.newer = []
+        self.newer_configurations = []
         self.checksum = 0
         self.compared = []
-        self.answers = True
-        self.store_heard = 0
+        self.store_reachable = True
+        self.store_reachable_calls = 0
 
-    def open_requests(self):
+    def count_open_requests(self):
         return 0
 
-    def serves_callers(self, now):
+    def is_serving_callers(self, now):
         return False
 
-    def holds_tokens(self):
+    def has_spendable_tokens(self):
         return False
 
-    def reaches_store(self):
-        return self.answers
+    def is_store_reachable(self):
+        return self.store_reachable
 
-    def confirms_store(self):
+    def has_recent_store_answer(self):
         return False
 
-    def gone_targets(self):
+    def recently_removed_targets(self):
         return []
 
-    def learn_gone_targets(self, gone):
+    def merge_removed_targets(self, gone):
         pass
 
     def suspects_checksum(self):
@@ -57,11 +57,11 @@
     def compare_suspects(self, checksum, peer):
         self.compared.append((checksum, peer))
 
-    def hear_of_configuration(self, peer):
-        self.newer.append(peer)
+    def handle_newer_configuration(self, peer):
+        self.newer_configurations.append(peer)
 
-    def hear_of_store(self):
-        self.store_heard += 1
+    def handle_store_reachable(self):
+        self.store_reachable_calls += 1
 
 
 class Link:
@@ -74,7 +74,7 @@
         self.sent.append((message, address))
 
 
-class Versioned:
+class FixedConfiguration:
     """A directory in which only the version matters."""
 
     def __init__(self, version):
@@ -95,12 +95,12 @@
     )
     member.link = Link()
     for number in range(30):
-        member._receive(beat(number), None)
+        member._receive(heartbeat(number), None)
     member.link.sent.clear()
     return member
 
 
-def beat(peer, run=1, hall=None, store_confirmed=False, **fields):
+def heartbeat(peer, run=1, hall=None, store_confirmed=False, **fields):
     state = PeerState(
         incarnation=f"p{peer}.{run}",
         sequence=1,
@@ -121,81 +121,83 @@
     return {digests[digest] for digest in message.ages}
 
 
-def test_other_halls_are_told_of_the_own_hall_only(membership):
-    membership.beat()
+def test_heartbeats_to_other_halls_describe_the_own_hall_only(membership):
+    membership.send_heartbeats()
     near = [message for message, address in membership.link.sent if len(message.ages) == 30]
     far = [message for message, address in membership.link.sent if len(message.ages) == 10]
     assert (len(near), len(far)) == (5, 1)
     assert {state.data_hall for state in far[0].passed_on} == {"h0"}
 
 
-def test_one_peer_is_asked_for_the_states_that_are_lacking(membership):
-    membership._receive(beat(0, number=2, ages={1234: 10}), None)
-    membership.beat()
+def test_missing_states_are_requested_from_one_peer(membership):
+    membership._receive(heartbeat(0, number=2, ages={1234: 10}), None)
+    membership.send_heartbeats()
     asked = [address for message, address in membership.link.sent if message.requests_states]
     assert len(asked) == 1
 
 
-def test_a_newcomer_that_knows_nobody_is_told_all_states(membership):
-    membership._receive(beat(40, hall="h1"), None)
+def test_a_new_peer_that_knows_nobody_is_sent_all_states(membership):
+    membership._receive(heartbeat(40, hall="h1"), None)
     ((answer, address),) = membership.link.sent
     assert address == ("10.0.1.40", 7340)
     assert len(answer.passed_on) == 31
 
 
-def test_a_peer_that_knows_nobody_is_told_all_states_again_though_its_run_is_known(membership):
+def test_a_known_peer_that_knows_nobody_is_sent_all_states_again(membership):
     """The first answer may be lost; without another one a whole data hall stayed alone."""
-    membership._receive(beat(3, number=2), None)
+    membership._receive(heartbeat(3, number=2), None)
     ((answer, address),) = membership.link.sent
     assert address == ("10.0.1.3", 7340)
     assert len(answer.passed_on) == 30
-    membership._receive(beat(3, number=3), None)
+    membership._receive(heartbeat(3, number=3), None)
     assert len(membership.link.sent) == 1
 
 
-def test_a_newcomer_that_knows_others_is_told_no_states(membership):
-    membership._receive(beat(40, hall="h1", ages={1234: 10}), None)
+def test_a_new_peer_that_knows_others_is_sent_no_states(membership):
+    membership._receive(heartbeat(40, hall="h1", ages={1234: 10}), None)
     ((answer, _),) = membership.link.sent
     assert answer.passed_on == []
     assert len(answer.ages) == 10
 
 
-def test_a_newer_version_of_the_configuration_is_no_news(membership):
+def test_a_newer_configuration_does_not_change_the_sequence_number(membership):
     """Each tells its own; as news, one change would pass on the states of all instances."""
-    membership.directory = Versioned(1)
+    membership.current_configuration = FixedConfiguration(1)
     before = membership.own_state()
-    membership.directory.version = 2
+    membership.current_configuration.version = 2
     state = membership.own_state()
     assert (state.configuration, state.sequence) == (2, before.sequence)
 
 
-def test_whether_callers_may_come_is_news(membership):
-    membership.directory = Versioned(1)
+def test_a_change_of_readiness_changes_the_sequence_number(membership):
+    membership.current_configuration = FixedConfiguration(1)
     before = membership.own_state()
-    membership.stopping = True
+    membership.is_stopping = True
     assert membership.own_state().sequence == before.sequence + 1
 
 
-def test_the_first_peer_that_hears_from_a_lost_store_again_is_news_at_once(membership):
+def test_the_first_peer_that_reaches_the_store_again_is_reported_at_once(membership):
     """Told by the heartbeats alone, its return reached the last of 24 instances after 1.7 s."""
-    membership.host.answers = False
-    returned = msgspec.structs.replace(beat(3).state, store_confirmed=True, sequence=2)
-    membership._receive(beat(2, number=2), None)
-    assert membership.host.store_heard == 0
-    membership._receive(beat(2, number=3, ages={returned.digest: 1}, passed_on=[returned]), None)
-    assert membership.host.store_heard == 1
-
-
-def test_peers_that_reach_the_store_all_along_are_no_news_to_one_that_is_turned_away(membership):
-    membership._receive(beat(3, run=2, store_confirmed=True), None)
-    membership.host.answers = False
-    membership._receive(beat(4, run=2, store_confirmed=True), None)
+    membership.host.store_reachable = False
+    returned = msgspec.structs.replace(heartbeat(3).state, store_confirmed=True, sequence=2)
+    membership._receive(heartbeat(2, number=2), None)
+    assert membership.host.store_reachable_calls == 0
+    membership._receive(
+        heartbeat(2, number=3, ages={returned.digest: 1}, passed_on=[returned]), None
+    )
+    assert membership.host.store_reachable_calls == 1
+
+
+def test_peers_that_reach_the_store_are_not_reported_again(membership):
+    membership._receive(heartbeat(3, run=2, store_confirmed=True), None)
+    membership.host.store_reachable = False
+    membership._receive(heartbeat(4, run=2, store_confirmed=True), None)
     assert len(membership.table.peers_with_store(steady())) == 2
-    assert membership.host.store_heard == 0
+    assert membership.host.store_reachable_calls == 0
 
 
-def test_an_instance_that_the_store_answers_again_tells_its_peers_at_once(membership):
-    membership.spread()
+def test_notify_peers_sends_at_once_and_is_rate_limited(membership):
+    membership.notify_peers()
     assert len(membership.link.sent) == 6
-    membership.spread()
+    membership.notify_peers()
     assert len(membership.link.sent) == 6
--- a/whinrack/edge/tests/test_missing_peers.py
+++ b/whinrack/edge/tests/test_missing_peers.py
@@ -5,75 +5,75 @@
 
 from whinrack.edge import _missing_peers as module
 from whinrack.edge._missing_peers import MissingPeers
-from whinrack.edge.tests.peer_world import OPTIONS, PeerWorld
+from whinrack.edge.tests.fake_peers import OPTIONS, FakePeers
 
 
-class World(PeerWorld):
+class Harness(FakePeers):
     def __init__(self, monkeypatch, options=OPTIONS):
         super().__init__(monkeypatch, module)
-        self.peers = MissingPeers(options, self.table)
+        self.missing_peers = MissingPeers(options, self.table)
 
-    def pass_time(self, seconds, *heard):
+    def advance(self, seconds, *heard):
         """Let some time pass in which some peers are heard."""
         end = self.now + seconds
         while self.now < end:
             self.now += 0.5
             self.hear(*heard)
             self.table.next_receivers(self.now)
-            _ = self.peers.misses
+            _ = self.missing_peers.has_missing
 
 
 @pytest.fixture
-def world(monkeypatch):
-    return World(monkeypatch)
+def harness(monkeypatch):
+    return Harness(monkeypatch)
 
 
-def test_a_fleet_that_is_heard_is_whole(world):
-    world.pass_time(2.0, 1, 2)
-    assert world.peers.is_whole
+def test_a_fleet_that_is_heard_is_complete(harness):
+    harness.advance(2.0, 1, 2)
+    assert harness.missing_peers.is_fleet_complete
 
 
-def test_one_that_falls_silent_is_missed_longer_than_the_table_knows_it(world):
-    world.pass_time(2.0, 1, 2)
-    world.pass_time(100.0, 1)
-    assert {view.state.sender.name for view in world.table.live_peers(world.now)} == {"p1"}
-    assert world.table.silent_peers(world.now) == []
-    assert not world.peers.is_whole
-    world.pass_time(1.0, 1, 2)
-    assert world.peers.is_whole
+def test_a_silent_peer_is_missing_longer_than_it_is_in_the_table(harness):
+    harness.advance(2.0, 1, 2)
+    harness.advance(100.0, 1)
+    assert {view.state.sender.name for view in harness.table.live_peers(harness.now)} == {"p1"}
+    assert harness.table.silent_peers(harness.now) == []
+    assert not harness.missing_peers.is_fleet_complete
+    harness.advance(1.0, 1, 2)
+    assert harness.missing_peers.is_fleet_complete
 
 
-def test_one_that_never_comes_back_is_not_missed_for_ever(world):
-    world.pass_time(2.0, 1, 2)
-    world.pass_time(610.0, 1)
-    assert world.peers.is_whole
+def test_a_peer_that_never_returns_is_dropped_after_ten_minutes(harness):
+    harness.advance(2.0, 1, 2)
+    harness.advance(610.0, 1)
+    assert harness.missing_peers.is_fleet_complete
 
 
-def test_one_that_stops_as_planned_is_not_missed(world):
-    world.pass_time(2.0, 1, 2)
-    world.now += 0.2
-    world.hear(2, ready=False)
-    world.pass_time(3.0, 1)
-    assert world.peers.is_whole
+def test_a_peer_that_shuts_down_gracefully_is_not_missing(harness):
+    harness.advance(2.0, 1, 2)
+    harness.now += 0.2
+    harness.hear(2, ready=False)
+    harness.advance(3.0, 1)
+    assert harness.missing_peers.is_fleet_complete
 
 
-def test_a_peer_that_misses_somebody_is_believed_by_one_that_has_just_started(world):
-    world.pass_time(2.0, 1)
-    world.peers.tell(True)
-    assert not world.peers.is_whole
+def test_a_new_instance_relies_on_the_reports_of_its_peers(harness):
+    harness.advance(2.0, 1)
+    harness.missing_peers.report(True)
+    assert not harness.missing_peers.is_fleet_complete
     # Its own word goes by its own memory: two could keep each other in doubt for ever.
-    assert not world.peers.misses
-    world.pass_time(6.0, 1)
-    assert world.peers.is_whole
+    assert not harness.missing_peers.has_missing
+    harness.advance(6.0, 1)
+    assert harness.missing_peers.is_fleet_complete
 
 
-def test_one_that_has_not_heard_whom_its_settings_name_is_not_whole(world):
-    world.pass_time(3.0, 2)
-    assert not world.peers.is_whole
-    world.pass_time(1.0, 1, 2)
-    assert world.peers.is_whole
+def test_an_unheard_seed_makes_the_fleet_incomplete(harness):
+    harness.advance(3.0, 2)
+    assert not harness.missing_peers.is_fleet_complete
+    harness.advance(1.0, 1, 2)
+    assert harness.missing_peers.is_fleet_complete
 
 
-def test_an_instance_without_peers_is_whole(monkeypatch):
+def test_an_instance_without_seeds_is_a_complete_fleet(monkeypatch):
     options = msgspec.structs.replace(OPTIONS, seeds=())
-    assert World(monkeypatch, options).peers.is_whole
+    assert Harness(monkeypatch, options).missing_peers.is_fleet_complete
--- a/whinrack/edge/tests/test_options.py
+++ b/whinrack/edge/tests/test_options.py
@@ -15,12 +15,12 @@
 )
 
 
-def test_an_unchanged_file_changes_nothing():
+def test_unchanged_options_change_nothing():
     reloaded = reload_options(OLD, OLD)
     assert (reloaded.options, reloaded.changed, reloaded.after_restart) == (OLD, (), ())
 
 
-def test_shares_and_seeds_change_at_once_and_addresses_after_a_restart():
+def test_reloadable_options_apply_at_once_and_the_others_after_a_restart():
     read = msgspec.structs.replace(
         OLD, retry_slack=7.0, seeds=(("127.0.0.3", 2),), callers=("127.0.0.1", 9)
     )
--- a/whinrack/edge/tests/test_relay.py
+++ b/whinrack/edge/tests/test_relay.py
@@ -6,7 +6,7 @@
 from returns.result import Failure
 
 from whinrack.edge._knowledge_exchange import KnowledgeServer, SharedKnowledge
-from whinrack.edge._relay import KindRelay, PeerFeed, WatchRelay
+from whinrack.edge._relay import PeerStore, WatchCache, WatchRelay
 from whinrack.http1 import ConnectionPool
 from whinrack.store import StoredObject
 
@@ -20,81 +20,81 @@
 @pytest.fixture
 def relay():
     relay = WatchRelay((KIND,))
-    server = KnowledgeServer(("127.0.0.1", 0), SharedKnowledge, relay.answer)
+    server = KnowledgeServer(("127.0.0.1", 0), SharedKnowledge, relay.handle)
     server.start()
-    feed = PeerFeed(server.address, ConnectionPool())
-    yield relay.kinds[KIND], feed
-    feed.connections.close()
+    peer_store = PeerStore(server.address, ConnectionPool())
+    yield relay.caches[KIND], peer_store
+    peer_store.connections.close()
     server.stop()
 
 
-def test_before_a_first_list_there_is_nothing_to_pass_on(relay):
-    _, feed = relay
-    assert isinstance(feed.list([KIND]), Failure)
-    assert isinstance(feed.watch([KIND], 0, 0.0), Failure)
+def test_an_empty_cache_answers_with_a_failure(relay):
+    _, peer_store = relay
+    assert isinstance(peer_store.list([KIND]), Failure)
+    assert isinstance(peer_store.watch([KIND], 0, 0.0), Failure)
 
 
-def test_a_first_list_that_comes_soon_is_waited_for(relay):
-    kind, feed = relay
-    eventlet.spawn_after(0.05, kind.listed, 5, (stored("a", 3),))
-    assert feed.list([KIND]).unwrap().revision == 5
+def test_a_list_request_waits_for_the_first_list(relay):
+    cache, peer_store = relay
+    eventlet.spawn_after(0.05, cache.replace, 5, (stored("a", 3),))
+    assert peer_store.list([KIND]).unwrap().revision == 5
 
 
 def test_a_peer_gets_the_list_and_then_the_changes(relay):
-    kind, feed = relay
-    kind.listed(5, (stored("a", 3),))
-    snapshot = feed.list([KIND]).unwrap()
-    assert (snapshot.revision, [each.name for each in snapshot.objects]) == (5, ["a"])
-    kind.changed(7, (stored("b", 7), stored("a", 6, deleted=True)))
-    batch = feed.watch([KIND], 5, 0.0).unwrap()
+    cache, peer_store = relay
+    cache.replace(5, (stored("a", 3),))
+    snapshot = peer_store.list([KIND]).unwrap()
+    assert (snapshot.revision, [item.name for item in snapshot.objects]) == (5, ["a"])
+    cache.apply(7, (stored("b", 7), stored("a", 6, deleted=True)))
+    batch = peer_store.watch([KIND], 5, 0.0).unwrap()
     assert batch.revision == 7
-    assert [(each.name, each.deleted) for each in batch.objects] == [("b", False), ("a", True)]
-    assert [each.name for each in feed.list([KIND]).unwrap().objects] == ["b"]
+    assert [(item.name, item.deleted) for item in batch.objects] == [("b", False), ("a", True)]
+    assert [item.name for item in peer_store.list([KIND]).unwrap().objects] == ["b"]
 
 
 def test_a_watch_waits_for_the_next_change(relay):
-    kind, feed = relay
-    kind.listed(5, ())
-    eventlet.spawn_after(0.05, kind.changed, 6, (stored("a", 6),))
-    batch = feed.watch([KIND], 5, 10.0).unwrap()
-    assert [each.name for each in batch.objects] == ["a"]
+    cache, peer_store = relay
+    cache.replace(5, ())
+    eventlet.spawn_after(0.05, cache.apply, 6, (stored("a", 6),))
+    batch = peer_store.watch([KIND], 5, 10.0).unwrap()
+    assert [item.name for item in batch.objects] == ["a"]
 
 
-def test_a_watch_without_changes_ends_where_it_began(relay):
-    kind, feed = relay
-    kind.listed(5, ())
-    batch = feed.watch([KIND], 5, 0.01).unwrap()
+def test_a_watch_without_changes_returns_the_same_revision(relay):
+    cache, peer_store = relay
+    cache.replace(5, ())
+    batch = peer_store.watch([KIND], 5, 0.01).unwrap()
     assert (batch.revision, batch.objects, batch.gap) == (5, (), False)
 
 
-def test_a_peer_that_is_ahead_waits_and_learns_nothing_old(relay):
-    kind, feed = relay
-    kind.listed(5, (stored("a", 3),))
-    batch = feed.watch([KIND], 9, 0.01).unwrap()
+def test_a_watch_from_a_later_revision_returns_no_older_changes(relay):
+    cache, peer_store = relay
+    cache.replace(5, (stored("a", 3),))
+    batch = peer_store.watch([KIND], 9, 0.01).unwrap()
     assert (batch.revision, batch.objects) == (9, ())
 
 
 def test_changes_from_before_the_list_are_a_gap(relay):
-    kind, feed = relay
-    kind.listed(5, ())
-    assert feed.watch([KIND], 4, 0.0).unwrap().gap
+    cache, peer_store = relay
+    cache.replace(5, ())
+    assert peer_store.watch([KIND], 4, 0.0).unwrap().gap
 
 
-def test_forgotten_changes_are_a_gap(monkeypatch):
-    monkeypatch.setattr("whinrack.edge._relay._MOST_CHANGES", 2)
-    kind = KindRelay()
-    kind.listed(0, ())
+def test_discarded_changes_are_a_gap(monkeypatch):
+    monkeypatch.setattr("whinrack.edge._relay._MAX_CHANGES", 2)
+    cache = WatchCache()
+    cache.replace(0, ())
     for revision in (1, 2, 3):
-        kind.changed(revision, (stored(f"t{revision}", revision),))
-    assert kind.batch(0, 0.0).gap
-    assert [each.name for each in kind.batch(1, 0.0).objects] == ["t2", "t3"]
+        cache.apply(revision, (stored(f"t{revision}", revision),))
+    assert cache.changes_since(0, 0.0).gap
+    assert [item.name for item in cache.changes_since(1, 0.0).objects] == ["t2", "t3"]
 
 
-def test_long_lists_arrive_whole(relay):
-    kind, feed = relay
-    kind.listed(9, tuple(stored(f"target-{n}", n) for n in range(500)))
-    assert len(feed.list([KIND]).unwrap().objects) == 500
+def test_long_lists_arrive_complete(relay):
+    cache, peer_store = relay
+    cache.replace(9, tuple(stored(f"target-{n}", n) for n in range(500)))
+    assert len(peer_store.list([KIND]).unwrap().objects) == 500
 
 
 def test_an_unreachable_peer_is_a_failure():
-    assert isinstance(PeerFeed(("127.0.0.1", 1), ConnectionPool()).list([KIND]), Failure)
+    assert isinstance(PeerStore(("127.0.0.1", 1), ConnectionPool()).list([KIND]), Failure)
--- a/whinrack/edge/tests/test_reloading.py
+++ b/whinrack/edge/tests/test_settings_follower.py
@@ -16,7 +16,7 @@
 )
 
 
-def test_what_may_change_in_a_running_process_is_passed_on_and_the_rest_waits():
+def test_only_reloadable_options_are_applied():
     used = []
     read = msgspec.structs.replace(OPTIONS, retry_ratio=0.5, watch_seconds=9.0)
     SettingsFollower(OPTIONS, lambda: read, used.append).reload()
--- a/whinrack/edge/tests/test_shared_retries.py
+++ b/whinrack/edge/tests/test_shared_retries.py
@@ -10,7 +10,7 @@
 from whinrack.dispatch import CurrentConfiguration, RetryBudget, TargetRegistry
 from whinrack.edge import EdgeOptions, _membership, _missing_peers
 from whinrack.edge._membership import Membership
-from whinrack.edge.tests.peer_world import ready_state
+from whinrack.edge.tests.fake_peers import ready_state
 from whinrack.edge.tests.test_membership import Host
 from whinrack.gossip import Heartbeat, PeerAddress
 
@@ -20,7 +20,7 @@
 _REQUESTS = 3
 
 
-class World:
+class Fleet:
     """Eight instances that hear each other, or only their own half."""
 
     def __init__(self, monkeypatch):
@@ -41,29 +41,29 @@
         directory = CurrentConfiguration(lambda configuration: None)
         return Membership(options, f"m{number}.1", directory, TargetRegistry(), Host(), _nothing)
 
-    def pass_time(self, seconds, reaches=lambda one, other: True):
+    def advance(self, seconds, can_reach=lambda sender, receiver: True):
         end = self.now + seconds
         while self.now < end:
             self.now += 0.25
-            for taker, member in enumerate(self.members):
-                for giver in range(_INSTANCES):
-                    if giver != taker and reaches(giver, taker):
-                        member.table.record_heartbeat(self.beat(giver), self.now)
+            for receiver, member in enumerate(self.members):
+                for sender in range(_INSTANCES):
+                    if sender != receiver and can_reach(sender, receiver):
+                        member.table.record_heartbeat(self.heartbeat(sender), self.now)
                 member.table.next_receivers(self.now)
-                member.sharing_instances()
+                member.count_sharing_instances()
 
-    def beat(self, number):
+    def heartbeat(self, number):
         state = ready_state(PeerAddress(f"m{number}", f"10.0.0.{number}", 7340))
         return Heartbeat(state=state, number=int(self.now * 100))
 
-    def further_attempts(self):
+    def retry_count(self):
         """Return what all instances together send again if each takes what it may."""
         taken = 0
         for member in self.members:
             allowance = RetryBudget(_RATIO, _SLACK, _WINDOW)
             for _ in range(_REQUESTS):
                 allowance.record_request(self.now)
-            while allowance.try_take(self.now, member.sharing_instances()):
+            while allowance.try_take(self.now, member.count_sharing_instances()):
                 taken += 1
         return taken
 
@@ -73,26 +73,26 @@
 
 
 @pytest.fixture
-def world(monkeypatch):
-    world = World(monkeypatch)
-    world.pass_time(3.0)
-    return world
+def fleet(monkeypatch):
+    fleet = Fleet(monkeypatch)
+    fleet.advance(3.0)
+    return fleet
 
 
-def in_halves(one, other):
-    return (one < _INSTANCES // 2) == (other < _INSTANCES // 2)
+def is_same_half(sender, receiver):
+    return (sender < _INSTANCES // 2) == (receiver < _INSTANCES // 2)
 
 
 @pytest.mark.parametrize("seconds", [2.0, 20.0, 90.0])
-def test_two_halves_keep_to_it_together(world, seconds):
-    world.pass_time(seconds, in_halves)
-    assert world.further_attempts() <= _RATIO * _REQUESTS * _INSTANCES + _SLACK
+def test_two_halves_stay_within_the_fleets_allowance(fleet, seconds):
+    fleet.advance(seconds, is_same_half)
+    assert fleet.retry_count() <= _RATIO * _REQUESTS * _INSTANCES + _SLACK
 
 
-def test_instances_each_on_its_own_keep_to_it_together(world):
-    world.pass_time(20.0, lambda one, other: False)
-    assert world.further_attempts() <= _RATIO * _REQUESTS * _INSTANCES + _SLACK
+def test_isolated_instances_stay_within_the_fleets_allowance(fleet):
+    fleet.advance(20.0, lambda sender, receiver: False)
+    assert fleet.retry_count() <= _RATIO * _REQUESTS * _INSTANCES + _SLACK
 
 
-def test_all_that_hear_each_other_use_most_of_it(world):
-    assert world.further_attempts() >= 0.55 * _SLACK
+def test_a_connected_fleet_can_use_most_of_the_allowance(fleet):
+    assert fleet.retry_count() >= 0.55 * _SLACK
--- a/whinrack/edge/tests/test_suspects.py
+++ b/whinrack/edge/tests/test_suspects.py
@@ -6,7 +6,7 @@
 from standins.memory_store import MemoryStore
 from whinrack.base import rendezvous
 from whinrack.clock import steady
-from whinrack.edge._store_availability import StoreContact
+from whinrack.edge._store_availability import StoreAvailability
 from whinrack.edge._suspects import SuspectExchange
 from whinrack.gossip import Heartbeat, PeerAddress, PeerState, PeerTable
 from whinrack.observability import Metrics
@@ -69,7 +69,7 @@
         network.exchanges[name] = SuspectExchange(
             name,
             store,
-            StoreContact(lambda answers: None),
+            StoreAvailability(lambda answers: None),
             network.link(name),
             peer_table(name),
             lambda: 1_000_000.0,
@@ -79,7 +79,7 @@
     return network
 
 
-def end(network, name, target, request=REQUEST):
+def target_ended(network, name, target, request=REQUEST):
     network.exchanges[name].quarantine.record_target_end(TargetEnd(target), [request])
 
 
@@ -87,28 +87,28 @@
     return [name for name in NAMES if network.exchanges[name].quarantine.quarantined_cases()]
 
 
-def test_a_single_end_goes_to_the_three_owners_only(network):
-    end(network, "m0", "a")
+def test_a_single_end_is_sent_to_the_three_owners_only(network):
+    target_ended(network, "m0", "a")
     owners = set(rendezvous("deadly", NAMES)[:3])
     assert {to for _, to, _ in network.sent} == owners - {"m0"}
 
 
-def test_ends_at_three_instances_come_together_at_all(network):
+def test_ends_seen_by_three_instances_quarantine_the_request_everywhere(network):
     for name, target in zip(NAMES, "abc", strict=False):
-        end(network, name, target)
+        target_ended(network, name, target)
     assert kept_out(network) == NAMES
 
 
-def test_many_requests_at_one_end_cost_few_messages(network):
+def test_many_requests_at_one_end_cause_few_messages(network):
     for number in range(64):
-        end(network, "m0", "a", RequestSignature(f"f{number}", "w", "r"))
+        target_ended(network, "m0", "a", RequestSignature(f"f{number}", "w", "r"))
     assert len(network.sent) <= 64 * 3
 
 
-def test_one_that_missed_it_is_told_by_the_checksum(network):
+def test_a_checksum_mismatch_sends_the_missing_cases(network):
     network.cut_off = {"m5"}
     for target in "abc":
-        end(network, "m0", target)
+        target_ended(network, "m0", target)
     network.cut_off = set()
     assert "m5" not in kept_out(network)
     checksum = network.exchanges["m5"].checksum()
@@ -116,19 +116,19 @@
     assert kept_out(network) == NAMES
 
 
-def test_equal_checksums_cost_nothing(network):
+def test_equal_checksums_send_nothing(network):
     for target in "abc":
-        end(network, "m0", target)
+        target_ended(network, "m0", target)
     sent = len(network.sent)
     network.exchanges["m1"].compare(network.exchanges["m2"].checksum(), ("m2", 1))
     assert len(network.sent) == sent
 
 
-def test_many_suspects_are_told_in_several_datagrams(network):
+def test_many_suspects_are_split_into_several_datagrams(network):
     network.cut_off = set(NAMES)
     for number in range(200):
         for target in ("a", "b"):
-            end(network, "m0", target, RequestSignature(f"f{number}", "w", "r"))
+            target_ended(network, "m0", target, RequestSignature(f"f{number}", "w", "r"))
     network.cut_off, network.sent[:] = set(), []
     network.exchanges["m0"].compare(0, ("m1", 1))
     told = network.exchanges["m1"].quarantine.table.suspect_cases()
@@ -146,27 +146,27 @@
         eventlet.kill(thread)
 
 
-def test_suspects_are_written_and_an_instance_that_starts_reads_them(network, store, tasks):
-    end(network, "m0", "a")
-    end(network, "m1", "b")
+def test_suspects_are_stored_and_read_back(network, store, tasks):
+    target_ended(network, "m0", "a")
+    target_ended(network, "m1", "b")
     eventlet.sleep(0.3)
     network.exchanges["m2"].quarantine.table = CaseTable()
     assert network.exchanges["m2"]._read()
     assert len(network.exchanges["m2"].quarantine.table.suspect_cases()) == 1
 
 
-def test_single_ends_cost_no_call_to_the_store(network, store, tasks):
+def test_single_ends_cause_no_store_calls(network, store, tasks):
     calls = store.calls
     for number in range(64):
-        end(network, "m0", "a", RequestSignature(f"f{number}", "w", "r"))
+        target_ended(network, "m0", "a", RequestSignature(f"f{number}", "w", "r"))
     eventlet.sleep(0.3)
     assert store.calls == calls
 
 
-def test_a_write_that_fails_is_made_again(network, store, tasks):
+def test_a_failed_write_is_retried(network, store, tasks):
     store.down = True
-    end(network, "m0", "a")
-    end(network, "m0", "b")
+    target_ended(network, "m0", "a")
+    target_ended(network, "m0", "b")
     eventlet.sleep(0.2)
     store.down = False
     eventlet.sleep(1.0)
