--- a/whinrack/edge/__init__.py
+++ b/whinrack/edge/__init__.py
@@ -1,4 +1,4 @@
-"""The daemon that serves declared routes."""
+"""Edge daemon: serves declared routes to callers and exchanges state with its peers."""
 
 from whinrack.edge._daemon import EdgeDaemon
 from whinrack.edge._endpoints import AuxiliaryEndpoints
--- a/whinrack/edge/_daemon.py
+++ b/whinrack/edge/_daemon.py
@@ -1,4 +1,4 @@
-"""Wires the pipeline to sockets, store and peers, and runs until it is stopped."""
+"""Process of one instance: connects the request pipeline to sockets, store and peers."""
 
 import os
 import signal
@@ -50,16 +50,16 @@
 
 _STDOUT = 1
 _EXIT_OK = 0
-# The store, where logs name who stated something.
+# Value of the log field `target` for fields of the store's answers.
 _STORE_NAME = "store"
 _ACCOUNT_LOG_ROUNDS = 5
 _TASK_RESTART_SECONDS = 0.5
-# How often it is looked whether callers had better connect elsewhere.
+# Interval between checks for crowding.
 _CROWDING_CHECK_SECONDS = 0.25
 
 
 class EdgeDaemon:
-    """One instance that serves declared routes.
+    """Runs one instance that serves declared routes.
 
     Parameters
     ----------
@@ -69,10 +69,10 @@
     configuration_reader : ConfigurationReader
     target_reader : TargetReader
     hall_reader : HallReader
-    endpoints : SmallAnswers
-        Answers callers' question where to go, and whether this instance is ready.
-    restart : RestartMoment
-        When this run started.
+    endpoints : AuxiliaryEndpoints
+        Handles discovery, readiness and metrics requests.
+    restart : RestartTime
+        Time at which this run started.
     read_options : callable
         Reads the settings again and returns the `EdgeOptions`; raises `InvalidSettings`.
     """
@@ -203,7 +203,13 @@
         self.upkeep = Upkeep(self.output, self.membership.traffic, self.store, self.membership.link)
 
     def run(self) -> int:
-        """Serve until a signal stops the process; returns its exit code."""
+        """Serve until a signal stops the process.
+
+        Returns
+        -------
+        int
+            Exit code of the process.
+        """
         configure_logs("INFO", json_lines=True, sink=self.output)
         eventlet.spawn_n(self.upkeep.write_logs_forever)
         log_event(Event.ROUTER_STARTED, instance=self.options.name, run=self.holder)
@@ -257,7 +263,10 @@
             eventlet.spawn_n(_supervise, task)
 
     def _emptied_hall_tasks(self) -> list[Callable[[], None]]:
-        """Follow emptied halls only where operators empty any: each watch is a call."""
+        """Return the task that follows emptied data halls, if halls can be emptied at all.
+
+        Each watch is a call to the store.
+        """
         return [self.halls.follower.run] if self.options.emptying_seconds else []
 
     def _on_configuration_applied(self, configuration: Configuration) -> None:
@@ -271,11 +280,11 @@
         log_event(event, silent=silent, why=self.store.last_failure, era=self.store.era.current)
         if is_available:
             self.grant_manager.handle_store_reachable()
-            # By the next round what may be used was stated up to 2.0 s later; what a process that
-            # ends before it is stated may have used is out of use.
+            # Renew now: waiting for the next round delayed the statement of usable tokens by up to
+            # 2.0 s, and tokens that a process may have used without stating it are lost if it ends.
             eventlet.spawn_n(self._renew_grants)
-            # By the usual heartbeats the last of 24 instances came back 1.7 s after the first, and
-            # refused for budgets meanwhile.
+            # Notify peers now: with periodic heartbeats only, the last of 24 instances recovered
+            # 1.7 s after the first one and refused requests for lack of budget in the meantime.
             self.membership.notify_peers()
 
     def _on_era_changed(self, change: EraChange) -> None:
@@ -292,8 +301,8 @@
         )
 
     def _on_store_restored(self, era: int) -> None:
-        """Write what this instance knows and the store has lost."""
-        # An instance that peers feed calls the store seldom.
+        """Write again what a store that was restored from a copy may have lost."""
+        # An instance that follows a peer rarely calls the store and may not have seen the era yet.
         self.store.era.advance_to(era)
         self.grant_manager.handle_store_restored(era)
         eventlet.spawn_n(self._renew_grants)
@@ -317,12 +326,15 @@
             self.availability.wait_until_available(self.options.renew_seconds)
 
     def _renew_grants(self) -> None:
-        """Tell the books what was used, and what may be used from now on."""
+        """Report used tokens to the store and renew the grants."""
         if isinstance(self.grant_manager.renew(), Failure):
             self.availability.report(False)
 
     def _watch_crowding(self) -> None:
-        """Let callers go elsewhere while far more requests are open here than at the peers."""
+        """Make the server close caller connections while this instance is crowded.
+
+        An instance is crowded while it has far more open requests than its peers.
+        """
         while True:
             eventlet.sleep(_CROWDING_CHECK_SECONDS)
             crowded = self.membership.is_crowded()
@@ -333,7 +345,7 @@
     # --- signals -----------------------------------------------------------------
 
     def _apply_options(self, options: EdgeOptions) -> None:
-        """Put changed settings in force."""
+        """Apply changed options."""
         self.options = options
         self.endpoints.options = options
         self.output.lines_per_second = options.log_lines_per_second
@@ -359,7 +371,7 @@
         self.metrics.invalid_objects.labels(kind).inc()
 
     def _on_unknown_field(self, field: str) -> None:
-        """Tell of a field of the store's answers that nothing here reads."""
+        """Log and count an unknown field in the store's answers."""
         name = truncate_for_log(field)
         self.metrics.unknown_statements.labels(name).inc()
         log_event(Event.FIELD_UNKNOWN, field=name, target=_STORE_NAME, request="")
@@ -379,7 +391,7 @@
 
 
 def _supervise(task: Callable[[], None]) -> None:
-    """Run a background task that should never end; one that fails begins anew."""
+    """Run a background task that should never end, and restart it after a failure."""
     while True:
         try:
             task()
--- a/whinrack/edge/_earlier_runs.py
+++ b/whinrack/edge/_earlier_runs.py
@@ -1,4 +1,4 @@
-"""What a restarted instance does before it draws budgets ahead."""
+"""Release of tokens that earlier runs of a restarted instance held."""
 
 from collections.abc import Callable
 
@@ -15,26 +15,26 @@
 __all__ = ["EarlierRuns"]
 
 _POLL_SECONDS = 0.05
-# For so long the peers' clocks are waited for after a start.
+# How long a started instance waits for its peers to check the time of day.
 _CLOCK_CHECK_TIMEOUT_SECONDS = 2.0
-# After the clock is judged, until budgets are drawn ahead.
+# Delay between the clock check and drawing ahead.
 _PEER_DISCOVERY_SECONDS = 1.0
-# A larger difference between the clocks' progress is a jump of the time of day.
+# A larger difference between wall and steady clock counts as a jump of the time of day.
 _CLOCK_JUMP_SECONDS = 0.25
 
 
 class EarlierRuns:
-    """Gives back what earlier runs of an instance held and can't have used.
+    """Releases tokens that earlier runs of an instance held and cannot have used.
 
     Parameters
     ----------
     options : EdgeOptions
-    restart : RestartMoment
-        When this run started.
-    grant_manager : GrantKeeper
-    availability : StoreContact
+    restart : RestartTime
+        Time at which this run started.
+    grant_manager : GrantManager
+    availability : StoreAvailability
     wall_clock : callable
-        Reads the time of day, and tells whether the peers agree with it.
+        Returns the time of day and whether the peers agree with it.
     """
 
     def __init__(
@@ -52,17 +52,17 @@
         self.wall_clock = wall_clock
 
     def release_and_draw(self) -> None:
-        """Let budgets be drawn ahead, once what earlier runs held is given back."""
+        """Release the tokens of earlier runs, then allow drawing ahead."""
         while not self._is_clock_check_over():
             eventlet.sleep(_POLL_SECONDS)
         if not self.options.first_start:
             self._release()
-        # By now the peers are known: who draws ahead for all is agreed.
+        # Drawing ahead needs the peers: all instances must agree on who draws for the fleet.
         eventlet.sleep(_PEER_DISCOVERY_SECONDS)
         self.grant_manager.can_draw_ahead = True
 
     def release_after_restore(self) -> None:
-        """Do it once more: the store has come back from a copy, and may lack the first time."""
+        """Release again, since a store restored from a copy may have lost the first release."""
         if self.grant_manager.can_draw_ahead:
             self._release()
 
@@ -84,12 +84,12 @@
         )
 
     def _is_clock_check_over(self) -> bool:
-        """Whether the peers have checked the time of day, or have had time enough to."""
+        """Return whether the peers have checked the time of day or the timeout is over."""
         waited = steady() - self.restart.steady
         return waited >= _CLOCK_CHECK_TIMEOUT_SECONDS or self.wall_clock().is_checked
 
     def _checked_restart(self) -> RestartTime:
-        """Return the moment of the restart, with what the peers say of its clock."""
+        """Return the restart moment, marked as checked if the peers confirm its clock."""
         now = self.wall_clock()
         jump = (now.seconds - self.restart.wall) - (steady() - self.restart.steady)
         checked = now.is_checked and abs(jump) <= _CLOCK_JUMP_SECONDS
--- a/whinrack/edge/_emptied_halls.py
+++ b/whinrack/edge/_emptied_halls.py
@@ -1,4 +1,4 @@
-"""What this instance knows of data halls that the operator has emptied."""
+"""Tracking of data halls that the operator has emptied."""
 
 from collections.abc import Callable
 
@@ -15,30 +15,29 @@
 
 __all__ = ["HallKnowledge"]
 
-# How long a watch for emptied halls is held, at the store and at a feeding peer. Halls are emptied
-# seldom, heartbeats tell of it as well, and a watch that is held for 1 s makes three times the
-# calls.
+# How long a watch for emptied halls is held, at the store and at a relay. Halls are rarely emptied
+# and heartbeats carry the information too, while watches of 1 s would make three times the calls.
 _WATCH_SECONDS = 3.0
-# What an operator wrote on halls and the store lost is written again within so long.
+# After a restore of the store, time allowed for writing lost entries of halls again.
 _RESTORE_GRACE_SECONDS = 5.0
 
 
 class HallKnowledge:
-    """Keeps the registry's words on data halls up to date from the store and the peers.
+    """Keeps the registry's emptied data halls up to date from the store and the peers.
 
     Parameters
     ----------
     reader : HallReader
     registry : TargetRegistry
-    upstreams : SourcePlan
-        Says whom to ask for lists and watches.
-    availability : StoreContact
-    cache : KindRelay
-        Told what was followed.
+    upstreams : UpstreamSelector
+        Selects the upstream for lists and watches.
+    availability : StoreAvailability
+    cache : WatchCache
+        Receives the followed objects.
     notify_peers : callable
-        Called with each change, to tell the peers at once.
+        Called after each change, to notify the peers at once.
     count_invalid : callable, optional
-        Told the kind of each object that can't be used.
+        Called with the kind of each object that cannot be read.
     """
 
     def __init__(
@@ -57,7 +56,7 @@
         self.notify_peers = notify_peers
         self.count_invalid = count_invalid
         self._era: int | None = None
-        # Words of an earlier era hold in spite of the lists of this one.
+        # Era in which lists do not yet override statements of earlier eras.
         self._recovering_era: int | None = None
         self.follower = KindFollower(
             upstreams,
@@ -72,7 +71,7 @@
         )
 
     def merge(self, statuses: list[HallStatus], source: str) -> None:
-        """Take in words on halls, from the store or a peer."""
+        """Apply statements on halls from the store or a peer, and notify the peers of changes."""
         changed = [status for status in statuses if self.registry.update_hall(status)]
         for status in changed:
             log_event(
@@ -101,9 +100,9 @@
         self.merge([*self._parse_all(objects), *released], "list")
 
     def _release_unlisted(self, era: int) -> None:
-        """Believe the store alone, once what it lost has had time to be written again."""
+        """Release halls that the restored store does not list, after the grace period."""
         if era != self._recovering_era:
-            # It came back once more meanwhile.
+            # The store has been restored again in the meantime.
             return
         self._recovering_era = None
         snapshot = self.cache.snapshot()
@@ -120,7 +119,7 @@
         return [status for status in statuses if status is not None]
 
     def _parse(self, stored: StoredObject) -> HallStatus | None:
-        """Read one entry; one that can't be read says nothing, and the word before it stays."""
+        """Read one entry; None if it is unreadable, which keeps the previous statement."""
         if stored.deleted:
             return HallStatus(stored.name, stored.version, is_emptied=False)
         try:
--- a/whinrack/edge/_endpoints.py
+++ b/whinrack/edge/_endpoints.py
@@ -1,4 +1,4 @@
-"""The small questions that the daemon answers besides requests."""
+"""HTTP endpoints for caller discovery, readiness and metrics."""
 
 from whinrack.edge._membership import Membership
 from whinrack.edge._options import EdgeOptions
@@ -14,30 +14,38 @@
 
 
 class AuxiliaryEndpoints:
-    """Answers where callers should go, whether to send them here, and figures.
+    """Handles discovery, readiness and metrics requests.
 
-    A dialect's subclass says how the first two are put, and read.
+    Subclasses define the paths and the encoding of the first two for a dialect.
     """
 
     directory_path = b"/where"
     ready_path = b"/ready"
 
     def bind(self, membership: Membership, metrics: Metrics, options: EdgeOptions) -> None:
-        """Learn where the facts are."""
+        """Set the objects that the answers are taken from."""
         self.membership = membership
         self.metrics = metrics
         self.options = options
 
     def encode_addresses(self, addresses: list[str], seconds: float) -> tuple[Headers, bytes]:
-        """Put the answer into words: addresses and how long they may be kept."""
+        """Encode the answer to a discovery request.
+
+        Parameters
+        ----------
+        addresses : list of str
+            Addresses of the instances that accept callers.
+        seconds : float
+            How long callers may cache them.
+        """
         raise NotImplementedError
 
     def caller_data_hall(self, head: RequestHead) -> str:
-        """Return the data hall that a caller says it is in, empty if it says none."""
+        """Return the data hall that a caller states, empty if it states none."""
         raise NotImplementedError
 
     def handle_directory(self, exchange: Exchange) -> None:
-        """Tell the instances that take callers."""
+        """Answer with the addresses of the instances that accept callers."""
         if not _has_path(exchange, self.directory_path):
             exchange.respond(_NOT_FOUND, [], b"")
             return
@@ -46,14 +54,14 @@
         exchange.respond(_OK, headers, body)
 
     def handle_ready(self, exchange: Exchange) -> None:
-        """Tell whether this instance takes callers."""
+        """Answer with 200 if this instance accepts callers, else with 503."""
         if not _has_path(exchange, self.ready_path):
             exchange.respond(_NOT_FOUND, [], b"")
             return
         exchange.respond(_OK if self.membership.is_ready else _UNAVAILABLE, [], b"")
 
     def handle_metrics(self, exchange: Exchange) -> None:
-        """Tell the metrics."""
+        """Answer with the metrics in the Prometheus text format."""
         exchange.respond(_OK, _TEXT, self.metrics.render())
 
 
--- a/whinrack/edge/_entry_selection.py
+++ b/whinrack/edge/_entry_selection.py
@@ -1,45 +1,46 @@
-"""Which instances callers are sent to. Decisions only, no I/O."""
+"""Selection of the instances that callers connect to. Decisions only, no I/O."""
 
 from whinrack.base import rendezvous
 from whinrack.gossip import Capacity, PeerState, has_high_capacity, max_capacity
 
 __all__ = ["choose_entries", "is_crowded", "is_serving_callers"]
 
-# Up to so many instances all take callers.
+# Up to this fleet size all instances accept callers.
 _SMALL_FLEET_INSTANCES = 12
-# Beyond that: instances and cores of a data hall that take its callers at least, and open
-# requests of the hall for each core. Chosen to leave room for a burst and for the loss of an
-# entry; not varied in measurements.
+# In larger fleets: minimum number of instances and cores of a data hall that accept its callers,
+# and open requests of the hall per core. They leave room for a burst and for the loss of an
+# instance.
 _MIN_INSTANCES = 2
 _MIN_CORES = 4.0
 _OPEN_REQUESTS_PER_CORE = 30.0
-# What an instance that doesn't tell its cores counts for.
+# Assumed for an instance that does not state its cores.
 _DEFAULT_CORES = 0.5
-# An instance is crowded with so many times as many open requests as its peers have, and some
-# more; fewer peers tell nothing.
+# An instance is crowded when its open requests exceed those of its peers by this factor plus the
+# slack. With fewer peers to compare with, none counts as crowded.
 _CROWDED_RATIO = 1.5
 _CROWDED_SLACK = 8
 _MIN_COMPARED_PEERS = 3
-# Requests a second from which on an instance counts as serving callers, and below which it no
-# longer does. Probes of what is in force come about once a second to every instance: with one
-# threshold of 1 a second all 195 states were news again and again, 2.7 kB in each heartbeat.
+# Request rates, per second, at which an instance starts and stops to count as serving callers.
+# Probes of the configuration reach every instance about once a second: with a single threshold of
+# 1 per second all 195 states changed again and again, which added 2.7 kB to each heartbeat.
 _SERVING_START_RATE = 3.0
 _SERVING_STOP_RATE = 1.5
 
 
 def choose_entries(ready: list[PeerState], hall: str) -> list[PeerState]:
-    """Return the instances to which a caller may be sent.
+    """Return the instances that a caller may connect to.
 
-    In a large fleet callers share a part of the instances of their own data hall, the strong
-    ones first: budgets are scattered over fewer holders, targets hear from fewer callers with
-    connections of their own, and what is known of the targets' load is less divided.
+    In a large fleet these are some instances of the caller's data hall, preferably those with high
+    capacity.
+    Budgets are then spread over fewer holders, targets have connections from fewer instances, and
+    each instance knows more of the targets' load.
 
     Parameters
     ----------
     ready : list of PeerState
-        Every instance that takes callers.
+        States of all instances that accept callers.
     hall : str
-        Where the caller is; one that isn't known means all of them.
+        Data hall of the caller; all halls are used if it is unknown.
     """
     if len(ready) <= _SMALL_FLEET_INSTANCES:
         return ready
@@ -55,7 +56,7 @@
 
 def _choose_in_hall(hall: str, states: list[PeerState], best_capacity: Capacity) -> list[PeerState]:
     by_name = {state.sender.name: state for state in states}
-    # The same order at all instances, so that callers and their connections stay.
+    # The order is the same at all instances, so that callers keep their connections.
     names = rendezvous(f"entries/{hall}", by_name)
     ordered = sorted(names, key=lambda name: not has_high_capacity(by_name[name], best_capacity))
     needed = max(_MIN_CORES, sum(state.load for state in states) / _OPEN_REQUESTS_PER_CORE)
@@ -74,29 +75,31 @@
 
 
 def is_serving_callers(rate: float, was_serving: bool) -> bool:
-    """Whether an instance counts as one that serves callers.
+    """Return whether an instance counts as serving callers.
 
     Parameters
     ----------
     rate : float
-        Requests a second that arrive there.
+        Requests per second that arrive at the instance.
     was_serving : bool
-        Whether it counted so a moment ago.
+        Previous result for this instance.
     """
     return rate >= (_SERVING_STOP_RATE if was_serving else _SERVING_START_RATE)
 
 
 def is_crowded(own: PeerState, open_requests: int, serving: list[PeerState]) -> bool:
-    """Whether far more requests are open at an instance than at those that serve beside it.
+    """Return whether far more requests are open at an instance than at its serving peers.
 
-    Callers keep their connections, and some send much more than others.
+    Load is uneven because callers keep their connections and some send much more than others.
 
     Parameters
     ----------
     own : PeerState
-        What the instance says of itself; its load is told in steps.
+        State of the instance. Its `load` is quantized, hence `open_requests`.
+    open_requests : int
+        Requests in progress at the instance.
     serving : list of PeerState
-        The other instances that serve callers.
+        States of the other instances that serve callers.
     """
     if len(serving) < _MIN_COMPARED_PEERS:
         return False
--- a/whinrack/edge/_graceful_shutdown.py
+++ b/whinrack/edge/_graceful_shutdown.py
@@ -1,4 +1,4 @@
-"""A planned stop: callers turn elsewhere, what was taken is finished, tokens go back."""
+"""Graceful shutdown: callers move away, requests finish, tokens are returned."""
 
 import eventlet
 
@@ -15,30 +15,31 @@
 
 _POLL_SECONDS = 0.05
 _KILL_MARGIN_SECONDS = 0.4
-# Part of a stop's time in which requests are finished; the rest is for the last orders.
+# Fraction of the stop time for finishing requests; the rest is for the final draw orders.
 _REQUEST_SHARE_OF_STOP = 0.84
-# Callers may keep the answer where to go this many times as long as they were told.
+# Callers may cache a discovery answer for this many times the stated duration.
 _CALLER_CACHE_FACTOR = 3
-# Most seconds that callers who keep it are waited for.
+# Longest time to wait for cached discovery answers to expire.
 _MAX_CALLER_CACHE_SECONDS = 3.0
 _MIN_DRAIN_SECONDS = 0.1
 
 
 class GracefulShutdown:
-    """Stops one instance.
+    """Shuts down one instance.
 
     Parameters
     ----------
     membership : Membership
     server : HttpServer
     dispatcher : Dispatcher
-    grant_manager : GrantKeeper
+    grant_manager : GrantManager
     tokens : TokenExchange
 
     Attributes
     ----------
-    begun, served : bool
-        The stop has begun; no more requests are open, or their time is over.
+    has_begun : bool
+    has_finished_requests : bool
+        Whether no requests are open any more, or their time is over.
     """
 
     def __init__(
@@ -58,14 +59,14 @@
         self.has_finished_requests = False
 
     def run(self, options: EdgeOptions) -> None:
-        """Finish what was taken and hand the tokens back; returns when all is done."""
+        """Finish the accepted requests and return the tokens; blocks until this is done."""
         self.has_begun = True
         started = steady()
         log_event(Event.ROUTER_STOPPING, in_progress=self.dispatcher.requests_in_progress)
         self.membership.is_stopping = True
         self.membership.send_heartbeats()
         self.server.closing = True
-        # Until callers have asked anew where to go, new requests are served as before.
+        # New requests are served until cached discovery answers have expired.
         caller_cache_seconds = min(
             _MAX_CALLER_CACHE_SECONDS, options.answer_seconds * _CALLER_CACHE_FACTOR
         )
--- a/whinrack/edge/_instance_host.py
+++ b/whinrack/edge/_instance_host.py
@@ -1,4 +1,4 @@
-"""What the membership asks of this instance, and what peers tell it, led to whom it concerns."""
+"""Connects the membership to the other parts of an instance."""
 
 from typing import Protocol
 
@@ -18,12 +18,12 @@
 
 __all__ = ["HostedInstance", "InstanceHost"]
 
-# The answer to a watch may be so late, beyond the time for which the watch is held.
+# Time allowed for the answer to a watch, beyond the time for which the watch is held.
 _WATCH_REPLY_MARGIN_SECONDS = 1.0
 
 
 class HostedInstance(Protocol):
-    """The parts of an instance that the membership asks and tells."""
+    """The parts of an instance that `InstanceHost` uses."""
 
     options: EdgeOptions
     dispatcher: Dispatcher
@@ -37,7 +37,7 @@
 
 
 class InstanceHost(MembershipHost):
-    """Speaks for one instance.
+    """Implements `MembershipHost` for one instance.
 
     Parameters
     ----------
@@ -49,63 +49,63 @@
         self._is_serving = False
 
     def count_open_requests(self) -> int:
-        """Return the requests in progress here."""
+        """Return the number of requests in progress."""
         return self.instance.dispatcher.requests_in_progress
 
     def is_serving_callers(self, now: float) -> bool:
-        """Whether callers' requests come here; the platform's probes are fewer."""
+        """Return whether callers send requests here; the platform's probes alone do not count."""
         rate = self.instance.dispatcher.arrivals.rate(now)
         self._is_serving = is_serving_callers(rate, self._is_serving)
         return self._is_serving
 
     def has_spendable_tokens(self) -> bool:
-        """Whether there are unspent tokens here."""
+        """Return whether this instance holds unspent tokens."""
         return self.instance.grant_manager.has_spendable_tokens
 
     def is_store_reachable(self) -> bool:
-        """Whether the store can be reached from here."""
+        """Return whether the store can be reached."""
         return (
             self.instance.availability.is_available
             and self.instance.grant_manager.is_store_reachable
         )
 
     def has_recent_store_answer(self) -> bool:
-        """Whether the store has answered a call from here lately."""
+        """Return whether the store has answered a call recently."""
         silent = steady() - self.instance.store.last_answer_at
         longest = self.instance.options.watch_seconds + _WATCH_REPLY_MARGIN_SECONDS
         return self.is_store_reachable() and silent < longest
 
     def recently_removed_targets(self) -> list[RemovedTarget]:
-        """Return the targets whose records have gone lately."""
+        """Return the targets whose records were deleted recently."""
         return self.instance.knowledge.recently_removed()
 
     def merge_removed_targets(self, gone: list[RemovedTarget]) -> None:
-        """Take in the targets that a peer knows to be gone."""
+        """Remove the targets that a peer reports as deleted."""
         self.instance.knowledge.merge_removed(gone)
 
     def merge_halls(self, statuses: list[HallStatus], peer: str) -> None:
-        """Take in what a peer knows of emptied data halls."""
+        """Apply a peer's statements on emptied data halls."""
         self.instance.halls.merge(statuses, peer)
 
     def handle_newer_configuration(self, peer: HostPort) -> None:
-        """Catch up with a peer that has a newer configuration."""
+        """Fetch the configuration from a peer that has a newer one."""
         self.instance.knowledge.catch_up(peer)
 
     def handle_store_reachable(self) -> None:
-        """Ask a lost store again, since a peer hears from it."""
+        """Probe the store again, since a peer reaches it."""
         self.instance.knowledge.handle_store_reachable()
 
     def receive(self, message: Message, address: HostPort) -> None:
-        """Take in a peer's message about suspected requests, or about tokens."""
+        """Dispatch a peer's message on suspected requests or on tokens."""
         if isinstance(message, SuspectCases):
             self.instance.suspects.receive(message, address)
         else:
             self.instance.tokens.receive(message, address)
 
     def suspects_checksum(self) -> int:
-        """Return the checksum of the requests that are suspected of ending targets."""
+        """Return the checksum of the requests that are suspected of crashing targets."""
         return self.instance.suspects.checksum()
 
     def compare_suspects(self, checksum: int, peer: HostPort) -> None:
-        """Catch up with a peer that suspects other requests."""
+        """Exchange suspected requests with a peer whose checksum differs."""
         self.instance.suspects.compare(checksum, peer)
--- a/whinrack/edge/_kind_follower.py
+++ b/whinrack/edge/_kind_follower.py
@@ -1,4 +1,4 @@
-"""Follows one kind of object in the store: a list, then watches, then lists again."""
+"""Following of one kind of object: a list, then watches, and a new list after a gap."""
 
 import random
 from collections.abc import Callable
@@ -28,38 +28,38 @@
     "UpstreamSelector",
 ]
 
-# The store, where logs name who answered.
+# Name of the store as an upstream in logs.
 _STORE_NAME = "store"
 _INITIAL_BACKOFF = 0.1
 _MAX_BACKOFF = 0.3
-# A lost store is asked by watches that are held for so long.
+# How long a watch that probes an unavailable store is held.
 PROBE_SECONDS = 0.05
-# A watch at a peer: short, since the peer may fall silent.
+# How long a watch at a peer is held; short, since the peer may fall silent.
 _PEER_WATCH_SECONDS = 1.0
-# What a peer passes on is at most as old as the hold of its own watch, and this much: 1.7 s
-# until it knows by itself that the store doesn't answer, and the heartbeat that tells so. What is
-# older was not heard from the store, and the peer doesn't know.
+# Data of a relay is at most as old as its own watch is held, plus this margin: 1.7 s until it
+# notices that the store does not answer, and the heartbeat that reports it. Older data means that
+# the relay has lost the store without noticing.
 _STALENESS_MARGIN_SECONDS = 2.0
-# What a sound feeder passes on is at most so old: the holds of its own watch and of one more
-# between it and the store, and 0.6 s for late answers. What is older tells that it hears nothing.
+# Maximum age of the data of a working relay: the duration of its own watch and of one more between
+# it and the store, and 0.6 s for late answers. Older data means that the relay receives nothing.
 _MAX_HEALTHY_AGE_SECONDS = 2.6
-# Watches that are held for longer are older by as much.
+# The limits above are for watches of this length; longer watches add to them.
 _DEFAULT_WATCH_SECONDS = 1.0
-# Seconds between the starts of two watches of the store at least: changes that come in quick
+# Minimum interval between the starts of two watches of the store, so that changes in quick
 # succession share a call.
 _MIN_WATCH_INTERVAL = 0.1
-# A task that doesn't probe tries by itself after so long.
+# A follower that does not probe retries after this time even if nothing has been reported.
 _MAX_AVAILABILITY_WAIT = 2.0
 
 
 class Upstream(msgspec.Struct, frozen=True):
-    """Where the next list or watch goes.
+    """Where a list or watch is requested from.
 
     Attributes
     ----------
     store : ObjectStore
     address : HostPort or None
-        Of the peer that passes on what it follows, None for the store itself.
+        Address of the relaying peer, None for the store itself.
     """
 
     store: ObjectStore
@@ -67,12 +67,12 @@
 
     @property
     def name(self) -> str:
-        """Who answers, for logs."""
+        """Name of the upstream in logs."""
         return _STORE_NAME if self.address is None else "{}:{}".format(*self.address)
 
 
 class UpstreamSelector:
-    """Says whom to ask for lists and watches; this one always says the store.
+    """Selects the upstream for lists and watches; this base class always selects the store.
 
     Parameters
     ----------
@@ -83,47 +83,47 @@
         self.store = store
 
     def wait_for_peers(self) -> None:
-        """Wait at the start until it is known whom to ask."""
+        """Wait at the start until the peers are known."""
 
     def is_store_likely_available(self) -> bool:
-        """Whether a store that is lost from here is worth a call."""
+        """Return whether an unavailable store is worth a probe."""
         return True
 
     def select(self) -> Upstream:
-        """Return whom to ask next."""
+        """Return the upstream for the next call."""
         return Upstream(self.store)
 
     def report_failure(self, upstream: Upstream) -> None:
-        """Learn that a peer didn't answer."""
+        """Report that a peer did not answer."""
 
     def report_stale(self, upstream: Upstream) -> None:
-        """Learn that what a peer passes on was confirmed by the store long ago."""
+        """Report that the data of a peer was confirmed by the store too long ago."""
 
     def prefer_store(self) -> None:
-        """Learn that the store told this instance more lately than its feeder."""
+        """Report that the store has answered this instance more recently than its upstream."""
 
 
 class KindFollower:
-    """Keeps up with a kind of object, through outages and lost history.
+    """Follows one kind of object through outages and gaps in its history.
 
     Parameters
     ----------
-    upstreams : SourcePlan
+    upstreams : UpstreamSelector
     kind : str
     on_list : callable
-        Called with all objects after each list, and its revision.
+        Called with all objects and the revision after each list.
     on_change : callable
-        Called with the objects of each watch that had some.
-    availability : StoreContact
-        Told the outcome of every call to the store.
+        Called with the changed objects of each watch that returned some.
+    availability : StoreAvailability
+        Receives the outcome of every call to the store.
     watch_seconds : float
-        How long one watch is held.
+        How long a watch is held.
     probes_store : bool
-        Go on calling while the store is away, for all who wait for it.
-    cache : KindRelay
-        Told what was followed.
+        Whether to keep calling an unavailable store, on behalf of all waiting tasks.
+    cache : WatchCache
+        Receives the followed objects.
     peer_watch_seconds : float, optional
-        How long a watch at a peer is held at most.
+        Longest time for which a watch at a peer is held.
     """
 
     def __init__(
@@ -155,7 +155,7 @@
         self._store_answered_at = float("-inf")
 
     def run(self) -> None:
-        """Follow for ever."""
+        """Follow until the process ends."""
         self.upstreams.wait_for_peers()
         while True:
             started = steady()
@@ -166,26 +166,33 @@
                 self._back_off()
 
     def _throttle(self, started: float) -> None:
-        """Let changes gather before the store is asked again, 0.1 s at most."""
+        """Wait up to 0.1 s before the next call to the store, so that changes share it."""
         delay = started + _MIN_WATCH_INTERVAL - steady()
         if delay > 0.0 and self.upstream_name == _STORE_NAME and self.availability.is_available:
             eventlet.sleep(delay)
 
     def _back_off(self) -> None:
-        """Wait before the next call after a failure."""
+        """Wait after a failure, before the next call."""
         eventlet.sleep(self._backoff * (0.5 + random.random()))
         self._backoff = min(_MAX_BACKOFF, 2 * self._backoff)
         if not self.probes_store and self.upstreams.select().address is None:
             self.availability.wait_until_available(_MAX_AVAILABILITY_WAIT)
 
     def poll(self) -> bool:
-        """Make one call to the store, or to a peer that passes it on; False if it failed."""
+        """Make one call to the store or to a relay.
+
+        Returns
+        -------
+        bool
+            False if the call failed.
+        """
         upstream = self.upstreams.select()
         outcome = self._fetch(upstream, self._watch_duration(upstream))
         if upstream.address is None:
             if _is_lost_reply(outcome):
-                # Only the connection may be gone, and the next call opens a new one. Without
-                # it one silent connection at each watcher made 87 instances blind for 10 s.
+                # Possibly only the connection is broken, and a second call opens a new one.
+                # Without the retry, one silent connection at each relay left 87 instances without
+                # updates for 10 s.
                 outcome = self._fetch(upstream, PROBE_SECONDS)
             self.availability.report(isinstance(outcome, Success))
             if isinstance(outcome, Success):
@@ -198,7 +205,7 @@
         return True
 
     def _fetch(self, upstream: Upstream, watch_seconds: float) -> Result:
-        """List, or watch for some seconds."""
+        """Request a list if none is known, else watch for some seconds."""
         if self.revision is None:
             listed = upstream.store.list([self.kind])
             return listed.bind(lambda snapshot: self._apply_list(upstream, snapshot))
@@ -206,10 +213,10 @@
         return result.map(lambda batch: self._apply_batch(upstream, batch))
 
     def _watch_duration(self, upstream: Upstream) -> float:
-        """Return the seconds for which a watch is held."""
+        """Return how long the next watch is held, in seconds."""
         if upstream.address is not None:
             return min(self.peer_watch_seconds, self.watch_seconds)
-        # A lost store is probed: the answer has to come at once, changes or not.
+        # A probe of an unavailable store must be answered at once, with or without changes.
         return self.watch_seconds if self.availability.is_available else PROBE_SECONDS
 
     def _record_upstream(self, upstream: Upstream) -> None:
@@ -222,7 +229,7 @@
     def _apply_list(self, upstream: Upstream, snapshot: Snapshot) -> Result[None, PlatformFailure]:
         if self.cache.revision is not None and snapshot.revision < self.cache.revision:
             self._log_rejected_list(upstream, snapshot.revision)
-            return Failure(PlatformUnavailable("the list is behind what was followed here"))
+            return Failure(PlatformUnavailable("the list is older than the cached revision"))
         self._rejected_revision = None
         self.cache.confirm(snapshot.age)
         self.on_list(snapshot.objects, snapshot.revision)
@@ -232,7 +239,7 @@
         return Success(None)
 
     def _log_rejected_list(self, upstream: Upstream, revision: int) -> None:
-        """Tell of a list that is not taken, once for each revision."""
+        """Log a rejected list, once for each revision."""
         if revision != self._rejected_revision:
             self._rejected_revision = revision
             log_event(
@@ -259,14 +266,15 @@
 
     @property
     def _extra_watch_seconds(self) -> float:
-        """Seconds for which a watch is held beyond the usual."""
+        """Seconds for which a watch is held beyond the default."""
         return max(0.0, self.watch_seconds - _DEFAULT_WATCH_SECONDS)
 
     def _is_fresher_than_upstream(self, age: float) -> bool:
-        """Whether the store, in reach as far as is known, was heard here after the feeder heard it.
+        """Return whether the store answered this instance later than its stale upstream.
 
-        Without it one that restarted while all others were cut off followed these, and
-        answered by an old configuration for 5 s though the store was in its reach.
+        False while the store is unavailable. Without this check, an instance that restarted while
+        all others were cut off from the store followed them and used an old configuration for 5 s
+        although it could reach the store itself.
         """
         if (
             age <= _MAX_HEALTHY_AGE_SECONDS + 2 * self._extra_watch_seconds
--- a/whinrack/edge/_knowledge.py
+++ b/whinrack/edge/_knowledge.py
@@ -1,4 +1,4 @@
-"""What this instance knows from the store: the configuration and the targets."""
+"""Configuration and targets as read from the store and from peers."""
 
 import random
 from collections import OrderedDict
@@ -27,46 +27,52 @@
 
 _READ_RETRY_SECONDS = 0.5
 _PEER_FETCH_SECONDS = 1.0
-# A fed instance that lost the store asks it again after so long, and half as much by chance.
+# Interval at which an instance that follows a peer probes an unavailable store; a random part of
+# up to half of it is added.
 _PROBE_INTERVAL_SECONDS = 1.0
-# A fed instance that hears of a newer configuration waits so long for it to come by itself.
+# How long an instance that follows a peer waits for a newer configuration to arrive that way.
 _RELAY_GRACE_SECONDS = 0.25
-# Names of targets that are gone, the last ones.
+# Number of deleted target records that are remembered, the latest ones.
 _MAX_REMOVED = 2000
-# For so long peers are told that a target's record is gone.
+# How long peers are informed that the record of a target was deleted.
 _REMOVED_ADVERTISED_SECONDS = 4.0
 
 
 class _RemovedRecord(NamedTuple):
-    """The version that a target's record had last, and when its end was learnt."""
+    """Last version of a deleted target record, and when the deletion was noticed."""
 
     version: int
     learned_at: float
 
 
 class StoreKnowledge:
-    """Keeps directory and registry up to date from the store.
+    """Keeps the configuration and the target registry up to date from the store and the peers.
 
     Parameters
     ----------
     store : ObjectStore
-    availability : StoreContact
+    availability : StoreAvailability
     configuration_reader : ConfigurationReader
     target_reader : TargetReader
-    current_configuration : Directory
+    current_configuration : CurrentConfiguration
     registry : TargetRegistry
-    upstreams : SourcePlan
-        Says whom to ask for lists and watches.
+    upstreams : UpstreamSelector
+        Selects the upstream for lists and watches.
     watch_seconds : float
         How long one watch is held.
     peer_with_store : callable
-        Returns the address of a peer that reaches the store, None if none does.
+        Returns the address of a peer that reaches the store, None if no peer does.
     fetch : callable, optional
-        Asks the peer at an address what it knows.
+        Fetches the `SharedKnowledge` of the peer at an address.
     count_invalid : callable, optional
-        Told the kind of each object that can't be used.
+        Called with the kind of each object that cannot be read.
     extra_kinds : tuple of str, optional
-        Followed elsewhere, and passed on to peers by the same relay.
+        Kinds that are followed elsewhere but served to peers by the same relay.
+
+    Attributes
+    ----------
+    on_restored : list of callable
+        Called with the new era after the store was restored from a copy.
     """
 
     def __init__(
@@ -95,10 +101,9 @@
         self.count_invalid = count_invalid
         self._configuration: StoredObject | None = None
         self._targets: dict[str, StoredObject] = {}
-        # What the store said is gone, and when; a peer that still has it is behind.
+        # Deleted records. A peer that still has one of them is out of date.
         self._removed: OrderedDict[str, _RemovedRecord] = OrderedDict()
         self._reconciler = RestoreReconciler()
-        # Called with the era in which the store has come back from a copy.
         self.on_restored: list[Callable[[int], None]] = []
         self.upstreams = upstreams
         self.relay = WatchRelay((configuration_reader.kind, target_reader.kind, *extra_kinds))
@@ -135,26 +140,26 @@
         ]
 
     def shared(self) -> SharedKnowledge:
-        """Return what peers may learn from here."""
+        """Return the objects that peers may fetch."""
         return SharedKnowledge(self._configuration, tuple(self._targets.values()))
 
     def targets_view(self) -> TargetsView:
-        """Return how up to date the targets are here."""
+        """Return the revision, age and upstream of the known targets."""
         cache = self._target_follower.cache
         return TargetsView(cache.revision or 0, cache.age(), self._target_follower.upstream_name)
 
     def is_following_store(self) -> bool:
-        """Whether this instance asks the store itself, not a peer that follows it."""
+        """Return whether this instance follows the store itself, not a peer."""
         return self.upstreams.select().address is None
 
     def catch_up(self, peer: HostPort) -> None:
-        """Catch up in the background with a peer that has a newer configuration."""
+        """Fetch a newer configuration from a peer, in the background."""
         if not self._is_catching_up:
             self._is_catching_up = True
             eventlet.spawn_n(self._fetch_from_peer, peer)
 
     def recently_removed(self) -> list[RemovedTarget]:
-        """Return the targets whose records have gone lately, for the peers."""
+        """Return the targets whose records were deleted recently, for the peers."""
         since = steady() - _REMOVED_ADVERTISED_SECONDS
         recent: list[RemovedTarget] = []
         for name, gone in reversed(self._removed.items()):
@@ -164,7 +169,7 @@
         return recent
 
     def merge_removed(self, gone: list[RemovedTarget]) -> None:
-        """Take in what a peer knows to be gone, unless a later record is known here."""
+        """Remove the targets that a peer reports as deleted, unless a later record is known."""
         for target in gone:
             known = self._targets.get(target.incarnation)
             if known is not None and known.version <= target.version:
@@ -172,15 +177,15 @@
                 self._on_target_changes((ended,), source="peer")
 
     def handle_store_reachable(self) -> None:
-        """Ask a lost store again now: a peer hears from it, after none did."""
+        """Probe the store now, since a peer reaches it after no instance did."""
         reachable, self._store_reachable = self._store_reachable, Signal()
         reachable.send(None)
 
     def _follow_peers(self) -> None:
-        """Learn of targets from peers while the store is out of reach."""
+        """Fetch targets from peers while the store is unavailable."""
         while True:
             eventlet.sleep(_PEER_FETCH_SECONDS)
-            # A fed instance goes on being fed by a peer that reaches the store.
+            # An instance that follows a relay keeps getting changes from it.
             is_cut_off = not self.availability.is_available and self.is_following_store()
             peer = self.peer_with_store() if is_cut_off else None
             known = self.fetch(peer) if peer is not None else None
@@ -188,17 +193,18 @@
                 self._merge(known)
 
     def _probe_store(self) -> None:
-        """Ask a lost store again while peers feed this instance.
+        """Probe an unavailable store while this instance follows a peer.
 
-        A fed instance makes no calls of its own, so it would count the store as lost for good
-        and never watch it again for others: 57 of 87 instances did so after one silence. Until a
-        peer hears from the store, the calls of those who follow it are enough.
+        An instance that follows a peer makes no calls of its own. Without probes it would count the
+        store as unavailable for good and never become a relay again: 57 of 87 instances did so
+        after one outage. Until a peer reaches the store, the calls of the instances that follow
+        the store are enough.
         """
         reachable = self._store_reachable
         while True:
             with eventlet.Timeout(_PROBE_INTERVAL_SECONDS * (1.0 + random.random() / 2), False):
                 reachable.wait()
-            # Word that comes while the store is asked in vain lets it be asked once more.
+            # A notification that arrives during a failing probe causes one more probe.
             reachable = self._store_reachable
             is_following_peer = not self.is_following_store()
             if (
@@ -234,9 +240,9 @@
             self._is_catching_up = False
 
     def _merge(self, known: SharedKnowledge) -> None:
-        """Take in what a peer knows, the targets before the routes that need them."""
+        """Apply the objects of a peer, the targets before the routes that need them."""
         if not self._target_follower.has_listed or not self.availability.is_available:
-            # The store's own word goes first, also an earlier one that a target is gone.
+            # A deletion that the store reported overrides the record of a peer.
             fresh = [stored for stored in known.targets if stored.name not in self._removed]
             self._on_target_changes(tuple(fresh), source="peer")
         if known.configuration is not None:
@@ -267,7 +273,7 @@
                 )
 
     def _log_ignored_fields(self, stored: StoredObject, ignored: tuple[str, ...]) -> None:
-        """Tell which fields of a configuration were left out."""
+        """Log which fields of a configuration were ignored."""
         if ignored:
             self.count_invalid(stored.kind)
             log_event(
@@ -285,13 +291,13 @@
                 callback(revision_era(revision))
 
     def _reapply_target_list(self) -> None:
-        """Take the list anew: what the store lost has had time to be written again."""
+        """Apply the latest list again, after the time allowed for rewriting lost entries."""
         snapshot = self._target_follower.cache.snapshot()
         if snapshot is not None:
             self._on_target_list(snapshot.objects, snapshot.revision)
 
     def _apply_target_list(self, objects: Collection[StoredObject]) -> None:
-        """Put a whole list in the place of what was known."""
+        """Replace the known targets by a complete list."""
         listed = {stored.name: stored for stored in objects}
         for name in self._targets.keys() - listed.keys():
             self._record_removed(self._targets[name])
@@ -308,7 +314,7 @@
                 self._log_leaving(stored.name, source, stored.version)
 
     def _log_leaving(self, incarnation: str, source: str, version: int = 0) -> None:
-        """Tell that a target takes no new work, who said so and how old that word is."""
+        """Log that a target accepts no new requests, with the source and age of the information."""
         log_event(
             Event.TARGET_LEAVING,
             target=incarnation,
@@ -324,19 +330,19 @@
             return self.registry.remove(stored.name)
         known = self._targets.get(stored.name)
         if known is not None and known.version > stored.version:
-            # A peer that is behind; passed on, its record would make others blind too.
+            # The peer is out of date. Relaying its record would spread the stale state.
             return False
         self._reconciler.ended.discard(stored.name)
         self._targets[stored.name] = stored
         self._removed.pop(stored.name, None)
         record = self._read_target(stored)
         if record is None:
-            # An entry that turned bad names no target any more.
+            # An entry that became unreadable does not describe a target any more.
             return self.registry.remove(stored.name)
         return self.registry.put(record)
 
     def _record_removed(self, stored: StoredObject) -> None:
-        """Remember that the store said a target is gone."""
+        """Remember that the record of a target was deleted."""
         self._removed.pop(stored.name, None)
         self._removed[stored.name] = _RemovedRecord(stored.version, steady())
         while len(self._removed) > _MAX_REMOVED:
--- a/whinrack/edge/_knowledge_exchange.py
+++ b/whinrack/edge/_knowledge_exchange.py
@@ -1,4 +1,4 @@
-"""Passes on what the store said, so that peers learn it while they can't ask the store."""
+"""Exchange of store objects between instances, for use while the store is unavailable."""
 
 import zlib
 from collections.abc import Callable
@@ -24,21 +24,21 @@
 _NOT_FOUND = 404
 _JSON: Headers = [(b"content-type", b"application/json")]
 _DEFLATED: Headers = [*_JSON, (b"content-encoding", b"deflate")]
-# Longer answers are compressed.
+# Answers of at least this size are compressed.
 _MIN_COMPRESSED_BYTES = 2048
 _COMPRESSION_LEVEL = 1
 _FETCH_SECONDS = 1.0
 
 
 class SharedKnowledge(msgspec.Struct, frozen=True):
-    """Objects of the store as an instance has met them.
+    """Objects of the store as known to an instance.
 
     Attributes
     ----------
     configuration : StoredObject or None
-        The one in force there.
+        Configuration in force at that instance.
     targets : tuple of StoredObject
-        Those that are not known to be gone.
+        Records of targets that are not known to be deleted.
     """
 
     configuration: StoredObject | None = None
@@ -50,16 +50,16 @@
 
 
 class KnowledgeServer:
-    """Answers peers that ask what this instance knows.
+    """Serves this instance's knowledge to peers.
 
     Parameters
     ----------
     address : HostPort
-        Where to listen; peers find it at the address of the datagrams.
+        Address to listen at. Peers use the address that they send datagrams to.
     knowledge : callable
-        Returns the `SharedKnowledge`.
+        Returns the `SharedKnowledge` of this instance.
     handle_other : callable, optional
-        Answers other questions; returns False for those that it doesn't know.
+        Handles requests for other paths; returns False for paths that it does not know.
     """
 
     def __init__(
@@ -74,15 +74,15 @@
 
     @property
     def address(self) -> HostPort:
-        """Where it listens."""
+        """Address that the server listens at."""
         return self._server.address
 
     def start(self) -> None:
-        """Listen in the background."""
+        """Start to listen, in the background."""
         self._server.start()
 
     def stop(self) -> None:
-        """Listen no more."""
+        """Stop listening."""
         self._server.stop_listening()
 
     def _answer(self, exchange: Exchange) -> None:
@@ -94,7 +94,7 @@
 
 
 def encode_answer(value: msgspec.Struct) -> tuple[Headers, bytes]:
-    """Return headers and body of an answer to a peer, compressed where that is worth it."""
+    """Encode an answer to a peer as headers and body, compressed if it is long."""
     body = msgspec.json.encode(value)
     if len(body) < _MIN_COMPRESSED_BYTES:
         return _JSON, body
@@ -104,7 +104,7 @@
 def fetch_knowledge(
     address: HostPort, on_transfer: Callable[[str, HostPort, int], None] | None = None
 ) -> SharedKnowledge | None:
-    """Ask a peer what it knows; None if it doesn't answer in time."""
+    """Fetch the knowledge of a peer; None if it does not answer in time."""
     connections = ConnectionPool()
     try:
         return get_from_peer(
@@ -122,17 +122,17 @@
     answer_type: type,
     on_transfer: Callable[[str, HostPort, int], None] | None = None,
 ):
-    """Ask a peer by HTTP.
+    """Send a GET request to a peer and decode the answer.
 
     Parameters
     ----------
     on_transfer : callable, optional
-        Called with the kind of question, the address and the bytes of the answer's body.
+        Called with the lower-case name of the answer type, the address and the size of the body.
 
     Returns
     -------
     answer_type or None
-        None without an answer in time that can be read.
+        None if there is no valid answer in time.
     """
     end = steady() + seconds
     try:
@@ -153,7 +153,7 @@
 
 
 def _decode(body: bytes, answer_type: type):
-    """Return the answer; a JSON text starts with a brace unless it is compressed."""
+    """Decode an answer, which is compressed unless it starts with a brace."""
     try:
         text = body if body.startswith(b"{") else zlib.decompress(body)
         return msgspec.json.decode(text, type=answer_type)
--- a/whinrack/edge/_limit_log.py
+++ b/whinrack/edge/_limit_log.py
@@ -1,4 +1,4 @@
-"""Tells which targets have stated a limit of requests, and the peers that it has changed."""
+"""Logging of rate limits that targets state, and notification of the peers."""
 
 from collections.abc import Callable
 
@@ -8,28 +8,27 @@
 
 __all__ = ["LimitLog"]
 
-# A target may state another number with each answer: lines on one target, and heartbeats that go
-# out for such changes, have so many seconds between them at least. What no heartbeat goes out for
-# comes with the next one.
+# A target may state a different limit with each answer, so log lines of one target and heartbeats
+# sent for such changes have a minimum interval. Changes in between go out with the next heartbeat.
 _LOG_INTERVAL_SECONDS = 1.0
 _NOTIFY_INTERVAL_SECONDS = 1.0
-# The start and the end of a limit have a line always, and heartbeats that go out for one have so
-# many seconds between them: by the usual ones alone 200 instances take some three seconds.
+# The start and the end of a limit are always logged, and heartbeats are sent for them at this
+# minimum interval: periodic heartbeats alone take some three seconds to reach 200 instances.
 _START_END_NOTIFY_INTERVAL_SECONDS = 0.25
-# Targets whose last line is remembered, the latest ones.
+# Number of targets whose last log time is remembered, the latest ones.
 _MAX_TARGETS = 500
 
 
 class LimitLog:
-    """Logs each limit that becomes known, changes or ends.
+    """Logs each limit that starts, changes or ends.
 
     Parameters
     ----------
     registry : TargetRegistry
     metrics : Metrics
     notify_peers : callable
-        Called with each change, to tell the peers at once: most of them send nothing to the
-        target and hear nothing from it.
+        Called after a change, to notify the peers at once: most of them send no requests to the
+        target and would not see its limit otherwise.
     """
 
     def __init__(
@@ -42,7 +41,7 @@
         self._notified_at = float("-inf")
 
     def on_limit_changed(self, change: LimitChange) -> None:
-        """Log and pass on one change, unless the one before is too recent."""
+        """Log a change and notify the peers, each subject to its minimum interval."""
         self.metrics.limited_targets.set(len(self.registry.stated_limits.limited_targets()))
         now = steady()
         is_another_number = NO_LIMIT not in (change.previous_rate, change.rate)
--- a/whinrack/edge/_load_sharing.py
+++ b/whinrack/edge/_load_sharing.py
@@ -1,4 +1,4 @@
-"""Instances tell each other how many requests they have at each target."""
+"""Exchange of the number of requests in flight per target between instances."""
 
 import eventlet
 
@@ -8,17 +8,17 @@
 
 __all__ = ["LoadSharing"]
 
-# Between two messages on the requests in flight.
+# Interval between two load messages.
 _SHARE_INTERVAL_SECONDS = 0.25
 
 
 class LoadSharing:
-    """Sends this instance's loads to the peers that serve callers, and takes in theirs.
+    """Sends this instance's target loads to the peers that serve callers, and receives theirs.
 
     Parameters
     ----------
     name : str
-        This instance.
+        Name of this instance.
     table : PeerTable
     link : GossipLink
     registry : TargetRegistry
@@ -31,13 +31,13 @@
         self.registry = registry
 
     def receive(self, message: TargetLoads) -> None:
-        """Take in the loads of a peer."""
+        """Record the loads of a peer."""
         self.registry.remote_loads.update(
             message.sender, message.request_counts, steady(), message.unread_prompt_tokens
         )
 
     def share_forever(self) -> None:
-        """Tell the peers that serve callers how many requests are at each target from here."""
+        """Send the loads to the peers that serve callers until the process ends."""
         had_loads = False
         while True:
             eventlet.sleep(self.table.heartbeat_interval(_SHARE_INTERVAL_SECONDS))
--- a/whinrack/edge/_membership.py
+++ b/whinrack/edge/_membership.py
@@ -1,4 +1,4 @@
-"""Heartbeats: who is there, who takes callers, which targets leave."""
+"""Membership of the fleet, maintained by heartbeats."""
 
 import itertools
 import random
@@ -32,25 +32,25 @@
 __all__ = ["Membership"]
 
 _MAX_LEAVING = 200
-# Shortest time between two heartbeats that pass news on.
+# Minimum interval between two heartbeats that are sent ahead of time.
 _NOTIFY_INTERVAL_SECONDS = 0.1
-# Shortest time between two questions for states that are lacking.
+# Minimum interval between two requests for missing states.
 _STATE_REQUEST_INTERVAL_SECONDS = 1.0
-# The load is told in steps, so that not every change of it is news to the whole fleet.
+# Step of the advertised load, so that small changes do not cause a new state for the whole fleet.
 _LOAD_STEP = 10
-# Peers that one log line names.
+# Number of peer names in one log line.
 _MAX_LOGGED_NAMES = 6
 
 
 class Membership:
-    """Sends heartbeats and takes in those of the peers.
+    """Sends heartbeats and processes those of the peers.
 
     Parameters
     ----------
     options : EdgeOptions
     holder : str
-        This run.
-    current_configuration : Directory
+        Identifier of this run.
+    current_configuration : CurrentConfiguration
     registry : TargetRegistry
     host : MembershipHost
     count_bytes : callable
@@ -89,33 +89,33 @@
         self._logged_live: set[str] = set()
         self._notified_at = float("-inf")
         self._states_requested_at = float("-inf")
-        # When peers that know few were told the others last.
+        # When isolated peers were last sent the known states, by name.
         self._introduced_at: dict[str, float] = {}
         self._heartbeat_number = 0
         self._last_state: PeerState | None = None
 
     @property
     def is_ready(self) -> bool:
-        """Whether callers should be sent here."""
+        """Whether this instance accepts callers."""
         return not self.is_stopping and self.current_configuration.version > 0
 
     def start(self) -> None:
-        """Listen for heartbeats."""
+        """Start to receive heartbeats."""
         self.link.start()
         self.add_seeds(self.options.seeds)
 
     def add_seeds(self, seeds: tuple[HostPort, ...]) -> None:
-        """Learn where peers may hear datagrams."""
+        """Add addresses at which peers may receive datagrams."""
         self.table.add_addresses(seeds, steady())
 
     def send_heartbeats(self) -> None:
-        """Send a heartbeat to the peers whose turn it is."""
-        # What it changes is told by a heartbeat of its own, ahead of this one.
+        """Send a heartbeat to the peers that are due."""
+        # Expired limits trigger a heartbeat of their own, ahead of this one.
         self.registry.stated_limits.drop_expired()
         now = steady()
         message = self._build_heartbeat(now, self.table.take_states_to_pass_on(now))
         receivers = self.table.next_receivers(now)
-        # One peer that answers with all states is enough: 109 bytes for each instance.
+        # One peer is enough, since its answer takes 109 bytes for each instance.
         state_source = next(iter([*receivers.own_hall, *receivers.other_halls]), None)
         requests_states = self._take_state_request(now)
         for address in receivers.own_hall:
@@ -134,7 +134,7 @@
             self.link.send(message, address)
 
     def _for_other_hall(self, message: Heartbeat, now: float) -> Heartbeat:
-        """Return a heartbeat for another data hall, which tells of the own hall only."""
+        """Return a heartbeat for another data hall, reduced to the states of the own hall."""
         return msgspec.structs.replace(
             message,
             passed_on=self.table.own_hall_only(message.passed_on),
@@ -161,7 +161,7 @@
         )
 
     def _take_state_request(self, now: float) -> bool:
-        """Whether to ask for the states that are lacking, at most once a second."""
+        """Return whether to request missing states now, at most once a second."""
         if (
             now - self._states_requested_at < _STATE_REQUEST_INTERVAL_SECONDS
             or not self.table.pop_missing_states_flag()
@@ -171,7 +171,7 @@
         return True
 
     def own_state(self) -> PeerState:
-        """Return what this instance says of itself now."""
+        """Return the current state of this instance, with a new sequence number if it changed."""
         state = self._current_state()
         if _has_changed(self._last_state, state):
             self._sequence += 1
@@ -206,28 +206,28 @@
         return [state.callers for state in choose_entries(ready, hall)]
 
     def is_crowded(self) -> bool:
-        """Whether callers had better connect to other instances."""
+        """Return whether callers should connect to other instances."""
         serving = [view.state for view in self.table.serving_peers(steady())]
         return is_crowded(self.own_state(), self.host.count_open_requests(), serving)
 
     def count_sharing_instances(self) -> int:
-        """Return the number of instances that share the work.
+        """Return the number of instances that share fleet-wide limits.
 
-        Those that are missing count: parts of a fleet that don't hear each other would each share
-        out the whole of what all together may send again, or connect.
+        Missing instances are included. Otherwise each part of a partitioned fleet would use the
+        fleet's entire retry budget and connection limit.
         """
         missing = self.missing_peers.count(only_serving=not self.table.is_full_mesh)
         return self.table.count_sharing_instances(steady()) + missing
 
     def peer_with_store(self) -> HostPort | None:
-        """Return the address of a peer that reaches the store, None if none does."""
+        """Return the address of a random peer that reaches the store, None if no peer does."""
         reaching = self.table.peers_with_store(steady())
         if not reaching:
             return None
         return random.choice(reaching).state.sender.address
 
     def wall_clock(self) -> WallClockReading:
-        """Return the time of day, checked by that of the peers."""
+        """Return the time of day and whether it agrees with the peers' clocks."""
         seconds = time.time()
         return WallClockReading(seconds, self.clock_check.is_confirmed_by_peers(seconds, steady()))
 
@@ -254,7 +254,7 @@
         if without_store and self.table.peers_with_store(now):
             self.host.handle_store_reachable()
         if is_new or heartbeat.requests_states or self._is_isolated(heartbeat, now):
-            # At once, so that a peer that has just started knows this one and the others.
+            # Answer at once, so that a peer that has just started knows the fleet.
             self._send_introduction(heartbeat, now)
         newest = max((heartbeat.state, *heartbeat.passed_on), key=lambda state: state.configuration)
         if newest.configuration > self.current_configuration.version:
@@ -269,14 +269,15 @@
             self.notify_peers()
 
     def _is_store_out_of_reach(self, now: float) -> bool:
-        """Whether neither this instance nor a peer that it hears reaches the store."""
+        """Return whether neither this instance nor a live peer reaches the store."""
         return not self.host.is_store_reachable() and not self.table.peers_with_store(now)
 
     def _is_isolated(self, heartbeat: Heartbeat, now: float) -> bool:
-        """Whether a peer knows few of a large fleet; noticed once a second for each peer.
+        """Return whether a peer knows nobody in a large fleet, at most once a second per peer.
 
-        Its run may be known by hearsay while no answer has reached it: two data halls of 39
-        instances stayed alone, each of which followed the store and wrote the books itself.
+        Its run may be known through other peers although no answer has reached it: two data halls
+        of 39 instances stayed isolated, and each instance followed the store and wrote the accounts
+        itself.
         """
         if heartbeat.ages or self.table.is_full_mesh:
             return False
@@ -287,9 +288,9 @@
         return True
 
     def _send_introduction(self, heartbeat: Heartbeat, now: float) -> None:
-        """Answer a peer that was not known, or that lacks states.
+        """Answer a new peer or one that lacks states.
 
-        One that tells of others knows many already, and needs no states.
+        A peer whose heartbeat lists other instances knows the fleet and is sent no states.
         """
         knows_few = heartbeat.requests_states or not heartbeat.ages
         message = self._build_heartbeat(now, self.table.live_states(now) if knows_few else [])
@@ -298,7 +299,13 @@
         self.link.send(message, heartbeat.state.sender.address)
 
     def _merge_leaving(self, heartbeat: Heartbeat) -> bool:
-        """Take in which targets a peer knows to be leaving; True if that is newly_leaving."""
+        """Mark the targets that a peer reports as leaving.
+
+        Returns
+        -------
+        bool
+            Whether any of them was not yet known to be leaving.
+        """
         targets = itertools.zip_longest(
             heartbeat.leaving_targets,
             heartbeat.leaving_start_times[: len(heartbeat.leaving_targets)],
@@ -311,7 +318,10 @@
         return bool(newly_leaving)
 
     def notify_peers(self) -> None:
-        """Pass news on before the next heartbeat is due; seldom enough to end by itself."""
+        """Send a heartbeat ahead of time, to spread a change quickly.
+
+        The minimum interval keeps instances from triggering each other without end.
+        """
         now = steady()
         if now - self._notified_at >= _NOTIFY_INTERVAL_SECONDS:
             self._notified_at = now
@@ -330,15 +340,15 @@
 
 
 def _with_state_request(message: Heartbeat, requests_states: bool) -> Heartbeat:
-    """Return a heartbeat that asks for all states, or the heartbeat as it is."""
+    """Return the heartbeat, with a request for all states if there is to be one."""
     return msgspec.structs.replace(message, requests_states=True) if requests_states else message
 
 
 def _has_changed(before: PeerState | None, now: PeerState) -> bool:
-    """Whether a state differs from the one before in more than others hear at once anyway.
+    """Return whether a state differs from the previous one in more than the configuration version.
 
-    Each instance tells its version of the configuration by its own heartbeats. Passed on as
-    news, one change of the configuration made the states of all instances news at once.
+    Each instance states its configuration version in its own heartbeats. If the version counted as
+    a change, one new configuration would make peers forward the states of all instances at once.
     """
     if before is None:
         return True
@@ -350,7 +360,7 @@
 
 
 def _abbreviate(names: list[str]) -> str:
-    """Return names as text, those beyond a few as a number."""
+    """Return names as text, with a count in place of those beyond the maximum."""
     more = len(names) - _MAX_LOGGED_NAMES
     shown = " ".join(names[:_MAX_LOGGED_NAMES])
     return f"{shown} and {more} more" if more > 0 else shown
--- a/whinrack/edge/_membership_host.py
+++ b/whinrack/edge/_membership_host.py
@@ -1,4 +1,4 @@
-"""What the membership asks of the instance that it speaks for, and tells it."""
+"""Interface between the membership and the instance that it represents."""
 
 from whinrack.dispatch import HallStatus
 from whinrack.edge._options import HostPort
@@ -8,56 +8,56 @@
 
 
 class MembershipHost:
-    """What the membership asks of the instance that it speaks for, and tells it."""
+    """Provides the state of an instance to the membership and receives its events."""
 
     def count_open_requests(self) -> int:
-        """Return the requests in progress here."""
+        """Return the number of requests in progress."""
         raise NotImplementedError
 
     def is_serving_callers(self, now: float) -> bool:
-        """Whether callers' requests come here, by the steady clock."""
+        """Return whether callers send requests here, at a time of the steady clock."""
         raise NotImplementedError
 
     def has_spendable_tokens(self) -> bool:
-        """Whether there are unspent tokens here."""
+        """Return whether this instance holds unspent tokens."""
         raise NotImplementedError
 
     def is_store_reachable(self) -> bool:
-        """Whether the store can be reached from here."""
+        """Return whether the store can be reached."""
         raise NotImplementedError
 
     def has_recent_store_answer(self) -> bool:
-        """Whether the store has answered a call from here lately."""
+        """Return whether the store has answered a call recently."""
         raise NotImplementedError
 
     def recently_removed_targets(self) -> list[RemovedTarget]:
-        """Return the targets whose records have gone lately."""
+        """Return the targets whose records were deleted recently."""
         raise NotImplementedError
 
     def merge_removed_targets(self, gone: list[RemovedTarget]) -> None:
-        """Take in the targets that a peer knows to be gone."""
+        """Remove the targets that a peer reports as deleted."""
         raise NotImplementedError
 
     def merge_halls(self, statuses: list[HallStatus], peer: str) -> None:
-        """Take in what a peer knows of emptied data halls."""
+        """Apply a peer's statements on emptied data halls."""
         raise NotImplementedError
 
     def handle_newer_configuration(self, peer: HostPort) -> None:
-        """Learn that a peer has a newer configuration."""
+        """Handle that a peer has a newer configuration."""
         raise NotImplementedError
 
     def handle_store_reachable(self) -> None:
-        """Learn that a peer reaches the store, after none did."""
+        """Handle that a peer reaches the store after no instance did."""
         raise NotImplementedError
 
     def suspects_checksum(self) -> int:
-        """Return the checksum of the requests that are suspected of ending targets."""
+        """Return the checksum of the requests that are suspected of crashing targets."""
         raise NotImplementedError
 
     def compare_suspects(self, checksum: int, peer: HostPort) -> None:
-        """Take in a peer's checksum of the requests that it suspects."""
+        """Compare a peer's checksum of suspected requests with the own one."""
         raise NotImplementedError
 
     def receive(self, message: Message, address: HostPort) -> None:
-        """Take in a message that is not about who is there."""
+        """Handle a message that does not concern the membership."""
         raise NotImplementedError
--- a/whinrack/edge/_missing_peers.py
+++ b/whinrack/edge/_missing_peers.py
@@ -1,4 +1,4 @@
-"""Whether an instance that was there may go on somewhere without being heard here."""
+"""Tracking of instances that may still run although they are not heard."""
 
 from typing import NamedTuple
 
@@ -8,27 +8,28 @@
 
 __all__ = ["MissingPeers"]
 
-# One that fell silent without a planned stop is missed for so long, unless it is heard again. It
-# may be cut off, with others, for longer than any outage known.
+# An instance that fell silent without a graceful shutdown counts as missing for this time, unless
+# it is heard again. It may be partitioned for longer than any known outage.
 _MISSING_SECONDS = 600.0
-# A peer's word that it misses somebody counts for so long; it comes with each heartbeat.
+# How long a peer's report of missing instances is valid. It is repeated with each heartbeat.
 _REPORT_VALID_SECONDS = 5.0
 _REFRESH_SECONDS = 0.5
 
 
 class _KnownInstance(NamedTuple):
-    """An instance that was ready when it was heard last."""
+    """An instance that was ready when it was last heard."""
 
     heard_at: float
     serving: bool
 
 
 class MissingPeers:
-    """Remembers who was there for longer than the table of peers does.
+    """Remembers instances for longer than the peer table does.
 
-    What all instances share has to be shared with those that may go on unheard, too. Who starts
-    during a cut has never heard the other part, so peers tell each other that they miss somebody,
-    each by its own memory only.
+    Fleet-wide limits must also be shared with instances that may still run unheard. An instance
+    that starts during a partition has never heard the other part, so peers report to each other
+    that instances are missing. Each reports only what it remembers itself: otherwise two instances
+    could confirm each other's report for ever.
 
     Parameters
     ----------
@@ -40,33 +41,33 @@
         self.options = options
         self.table = table
         self._started_at = steady()
-        # Those that have not stopped as planned, by name.
+        # Instances that have not shut down gracefully, by name.
         self._known: dict[str, _KnownInstance] = {}
         self._reported_at = float("-inf")
         self._missing: list[_KnownInstance] = []
         self._refreshed_at = float("-inf")
 
     def report(self, has_missing: bool) -> None:
-        """Take in a peer's word whether it misses somebody."""
+        """Record whether a peer has missing instances."""
         if has_missing:
             self._reported_at = steady()
 
     @property
     def is_fleet_complete(self) -> bool:
-        """Whether nobody is missing, by this instance's memory and its peers'."""
+        """Whether neither this instance nor a peer has missing instances."""
         return not self.has_missing and steady() - self._reported_at > _REPORT_VALID_SECONDS
 
     @property
     def has_missing(self) -> bool:
-        """Whether this instance itself misses somebody."""
+        """Whether this instance itself has missing instances, or seeds not heard yet."""
         return bool(self._current()) or self._has_unheard_seeds(steady())
 
     def count(self, only_serving: bool) -> int:
-        """Return how many are missing, of all or of those that callers came to."""
+        """Return the number of missing instances, of all or of those that served callers."""
         return sum(instance.serving or not only_serving for instance in self._current())
 
     def _current(self) -> list[_KnownInstance]:
-        """Return who is missing, looked up a few times a second."""
+        """Return the missing instances, refreshed a few times a second."""
         now = steady()
         if now - self._refreshed_at >= _REFRESH_SECONDS:
             self._refreshed_at = now
@@ -89,7 +90,7 @@
         self._missing = [instance for name, instance in self._known.items() if name not in live]
 
     def _has_unheard_seeds(self, now: float) -> bool:
-        """Whether an instance that the settings name has not been heard yet."""
+        """Return whether a seed of the settings has not been heard yet."""
         if now - self._started_at > _MISSING_SECONDS:
             return False
         own = self.options.gossip[0]
--- a/whinrack/edge/_operator_endpoints.py
+++ b/whinrack/edge/_operator_endpoints.py
@@ -1,4 +1,4 @@
-"""What operators ask an instance at its metrics address: figures, and what is kept out."""
+"""HTTP endpoints for operators: metrics and quarantined requests."""
 
 import msgspec
 
@@ -15,14 +15,14 @@
 
 
 class OperatorEndpoints:
-    """Answers at the metrics address.
+    """Handles requests to the metrics address.
 
-    ``GET /quarantine`` lists, ``DELETE /quarantine/FINGERPRINT`` lets a request through again in
-    the whole fleet; every other path shows the metrics.
+    ``GET /quarantine`` lists the quarantined requests, ``DELETE /quarantine/FINGERPRINT`` releases
+    one in the whole fleet. Every other path returns the metrics.
 
     Parameters
     ----------
-    endpoints : SmallAnswers
+    endpoints : AuxiliaryEndpoints
     quarantine : Quarantine
     """
 
@@ -31,7 +31,7 @@
         self.quarantine = quarantine
 
     def handle(self, exchange: Exchange) -> None:
-        """Answer one question."""
+        """Answer one request."""
         path, _, fingerprint = exchange.head.target.partition(_QUARANTINE_PATH)
         if path or not exchange.head.target.startswith(_QUARANTINE_PATH):
             self.endpoints.handle_metrics(exchange)
--- a/whinrack/edge/_options.py
+++ b/whinrack/edge/_options.py
@@ -1,4 +1,4 @@
-"""What the daemon needs to know of its place and its patience."""
+"""Options of the edge daemon."""
 
 import msgspec
 
@@ -8,56 +8,55 @@
 
 
 class EdgeOptions(msgspec.Struct, frozen=True, kw_only=True):
-    """Addresses, bounds and shares; seconds throughout.
+    """Addresses, limits and timings of an instance. All times are in seconds.
 
     Attributes
     ----------
     name : str
-        This instance; the next run after a restart has the same name.
+        Name of this instance; it stays the same after a restart.
     callers, directory, ready, gossip : HostPort
-        Where to listen: for callers, for their question where to go, for the question
-        whether this instance is ready, and for peers' datagrams.
+        Addresses to listen at: for callers, for their discovery requests, for readiness checks
+        and for datagrams of peers.
     metrics : HostPort or None
+        Address of the metrics and operator endpoints.
     seeds : tuple of HostPort
-        Where peers may hear datagrams.
+        Addresses at which peers may receive datagrams.
     answer_seconds : float
-        How long callers may keep the answer where to go.
+        How long callers may cache the answer to a discovery request.
     stop_seconds : float
-        Time from a stop's signal until the process is killed.
+        Time between a stop signal and the kill of the process.
     retry_ratio, retry_slack, retry_window
-        See `whinrack.dispatch.RetryAllowance`.
+        See `whinrack.dispatch.RetryBudget`.
     heartbeat_seconds, silent_seconds, forget_seconds : float
-        Between heartbeats; silence after which a peer counts as gone; silence after
-        which its address is no longer tried.
+        Interval between heartbeats; silence after which a peer counts as gone; silence after
+        which its address is not tried any more.
     watch_seconds : float
-        How long one watch of the store is held; a connection that fell silent is noticed
-        after that.
+        How long one watch of the store is held. A silent connection is noticed after that.
     first_start : bool
-        The whole system starts for the first time: no earlier run of this instance held
-        anything, and no peer is up yet.
+        Whether the whole system starts for the first time, so that no earlier run of this instance
+        held tokens and no peer is up yet.
     settle_seconds : float
-        Time after the start in which peers may make themselves known before the store is
-        asked.
+        Time after the start that is allowed for peer discovery before the store is called.
     renew_seconds : float
-        Between reports of what was used and new schedules.
+        Interval between reports of used tokens, which renew the schedules.
     gather_seconds, draw_seconds : float
-        Patience with peers that are asked for tokens, and with the writer of the books.
+        Timeouts for peers that are asked for tokens, and for the instance that writes accounts.
     wall_margin_seconds : float
-        How far the time of day may have jumped between two runs.
+        Largest jump of the time of day between two runs that is allowed for.
     bandwidth : float
-        Of the network link, Mbit/s; 0 if it isn't known.
+        Bandwidth of the network link, Mbit/s; 0 if unknown.
     event_delay : float
-        Most seconds that an event of a stream may be held here, so that several are passed
-        on together; 0 for none.
+        Longest time for which an event of a stream may be held so that several are forwarded
+        together; 0 forwards each at once.
     cores : float
-        Processor time that this instance may use, seconds a second; 0 if it isn't known.
+        Processor time that this instance may use, seconds per second; 0 if unknown.
     emptying_seconds : float
-        Within which nothing more may reach a data hall that the operator has emptied; 0 where
-        halls are never emptied, and nobody need ask for it.
+        Time after which no request may reach a data hall that the operator has emptied; 0 if
+        halls are never emptied, in which case they are not followed in the store.
     cold_overage, cold_slack : float
         See `whinrack.dispatch.WarmUpLimits`.
     log_lines_per_second : float
-        Lines beyond this are left out and counted.
+        Lines beyond this rate are dropped and counted.
     """
 
     name: str
@@ -92,7 +91,7 @@
     log_lines_per_second: float = 150.0
 
 
-# Options that come into force in a running process; the others need a restart.
+# Options that can change in a running process; the others need a restart.
 _RELOADABLE = frozenset(
     {
         "answer_seconds",
@@ -112,11 +111,11 @@
     Attributes
     ----------
     options : EdgeOptions
-        Those in force now.
+        Options in force.
     changed : tuple of str
-        Names that came into force.
+        Names of the options that were applied.
     after_restart : tuple of str
-        Names that changed but need a restart.
+        Names of changed options that need a restart.
     """
 
     options: EdgeOptions
@@ -125,7 +124,7 @@
 
 
 def reload_options(current: EdgeOptions, read: EdgeOptions) -> ReloadedOptions:
-    """Return the old options with what may change in a running process."""
+    """Merge the options of reread settings that can change in a running process."""
     before, after = msgspec.structs.asdict(current), msgspec.structs.asdict(read)
     differing = sorted(name for name in before if before[name] != after[name])
     changed = tuple(name for name in differing if name in _RELOADABLE)
--- a/whinrack/edge/_rate_sharers.py
+++ b/whinrack/edge/_rate_sharers.py
@@ -1,4 +1,4 @@
-"""Who shares what targets that take few requests bear, as this instance sees the fleet."""
+"""The instances that share the rate limits of targets."""
 
 from whinrack.clock import steady
 from whinrack.edge._options import EdgeOptions
@@ -6,26 +6,26 @@
 
 __all__ = ["RateSharers"]
 
-# A silent peer keeps its share for so long: it may be cut off and go on. Cuts of 8 to 10 s are
-# borne so without two instances that spend the same share.
+# A silent peer keeps its share for this time, since it may be partitioned and still run. This
+# covers partitions of 8 to 10 s without two instances using the same share.
 _REMEMBERED_SECONDS = 15.0
-# An instance that has just started sends nothing to such targets until peers have told it who is
-# there: two heartbeats of a large fleet, and the answers with all states.
+# An instance that has just started sends nothing to rate-limited targets until it knows its peers.
+# This takes two heartbeats of a large fleet and the answers with all states.
 _SETTLE_SECONDS = 2.0
-# After that, for a while, all that are ready count: to whom callers come isn't known yet when all
-# have just started.
+# Until this age all ready instances are members: when all have just started, it is not yet known
+# which of them serve callers.
 _INCLUDE_IDLE_SECONDS = 5.0
-# One whose settings name others and that hears of none is cut off from them most likely.
+# An instance with seeds that has heard no peer up to this age is probably partitioned from them.
 _ISOLATED_SECONDS = 15.0
-# The view is renewed so often; it is asked for with each request.
+# The members are needed for each request and recomputed at this interval.
 _REFRESH_SECONDS = 0.1
 
 
 class RateSharers:
-    """The instances that callers come to, old ones counted rather than new ones forgotten.
+    """Determines which instances serve callers and therefore share rate limits.
 
-    Counting one that is gone leaves some of the rate unused; missing one that is there makes two
-    spend the same share.
+    In doubt an instance counts as a member. One that is gone leaves part of the rate unused, while
+    leaving out one that still runs lets two instances use the same share.
 
     Parameters
     ----------
@@ -41,7 +41,7 @@
         self._refreshed_at = float("-inf")
 
     def members(self) -> frozenset[str]:
-        """Return the names of the instances, with this one; empty while that isn't known."""
+        """Return the names of the members with this instance; empty while they are unknown."""
         now = steady()
         if now - self._refreshed_at >= _REFRESH_SECONDS:
             self._refreshed_at = now
@@ -63,8 +63,8 @@
         return frozenset([self.options.name, *names])
 
     def _is_member(self, view: PeerView, now: float, includes_idle: bool) -> bool:
-        """Whether callers come to a peer, or would if it was heard."""
+        """Return whether a peer shares the rate limits."""
         if not (view.state.ready or self.table.is_live(view, now)):
-            # It stopped as planned, and said so.
+            # It announced a graceful shutdown.
             return False
         return includes_idle or view.state.serving
--- a/whinrack/edge/_readers.py
+++ b/whinrack/edge/_readers.py
@@ -1,22 +1,22 @@
-"""What translates stored objects into the product's values; an adapter implements it."""
+"""Interfaces for reading stored objects, implemented by an adapter."""
 
 from whinrack.dispatch import Configuration, TargetRecord
 from whinrack.store import StoredObject
 
 __all__ = ["ConfigurationReader", "HallReader", "TargetReader", "truncate_for_log"]
 
-# Letters of other writers' text that a log line shows.
+# Maximum length of foreign text in a log line.
 _MAX_LOGGED_CHARACTERS = 200
 
 
 class ConfigurationReader:
-    """Translates the stored configuration."""
+    """Reads the stored configuration."""
 
     kind: str
     name: str
 
     def read(self, stored: StoredObject) -> Configuration:
-        """Return the configuration that an object holds.
+        """Parse the configuration of an object.
 
         Raises
         ------
@@ -26,12 +26,12 @@
 
 
 class TargetReader:
-    """Translates the stored records of targets."""
+    """Reads the stored records of targets."""
 
     kind: str
 
     def read(self, stored: StoredObject) -> TargetRecord:
-        """Return the record that an object holds.
+        """Parse the target record of an object.
 
         Raises
         ------
@@ -41,12 +41,12 @@
 
 
 class HallReader:
-    """Translates the stored entries of data halls that are emptied."""
+    """Reads the stored entries of emptied data halls."""
 
     kind: str
 
     def read(self, stored: StoredObject) -> str:
-        """Return the data hall that an object empties.
+        """Return the name of the data hall that an object marks as emptied.
 
         Raises
         ------
@@ -56,5 +56,5 @@
 
 
 def truncate_for_log(text: str) -> str:
-    """Return the beginning of a text that others wrote, for a log line."""
+    """Return the beginning of a foreign text, for a log line."""
     return text[:_MAX_LOGGED_CHARACTERS]
--- a/whinrack/edge/_relay.py
+++ b/whinrack/edge/_relay.py
@@ -1,8 +1,8 @@
-"""Passes lists and watches of the store on to peers, so that few instances call the store.
+"""Relays lists and watches of the store to peers, so that few instances call the store.
 
-Whoever follows a kind of object keeps it here, with its latest changes. A peer asks by HTTP
-for the list or for the changes after a revision, as it would ask the store. Revisions are the
-store's own, so a peer may go on at another instance, or at the store, where it left off.
+Each followed kind of object has a cache with its latest changes. A peer requests the list, or the
+changes after a revision, by HTTP in the same way as from the store. Revisions are those of the
+store, so a peer can continue at another instance or at the store.
 """
 
 from collections import deque
@@ -27,24 +27,24 @@
 _OK = 200
 _NOT_FOUND = 404
 _MAX_WAIT = 10.0
-# A peer that knows no list yet is waited for so long: at the start it asks the store first.
+# How long a list request waits at a peer without a list, which first has to call the store.
 _LIST_WAIT = 0.5
-# Seconds beyond the wait for which an answer is waited for.
+# Time allowed for an answer, beyond the requested wait.
 _REPLY_MARGIN_SECONDS = 0.5
-# Changes that are kept for peers.
+# Number of changes that are kept for peers.
 _MAX_CHANGES = 2000
 _MAX_ENCODED = 4
-# Ages are told in tenths of a second, so that peers that ask together get the same bytes.
+# Ages are rounded to tenths of a second, so that concurrent requests share an encoded answer.
 _AGE_DIGITS = 1
 
 
 class WatchCache:
-    """The objects of one kind as far as they were followed.
+    """Cache of the objects of one kind and of their latest changes.
 
     Attributes
     ----------
     confirmed_at : float
-        Steady clock when the store said last that this is up to date; 0 if it never did.
+        Steady clock at which the store last confirmed the cache; 0 if it never did.
     """
 
     def __init__(self):
@@ -56,14 +56,14 @@
         self._updated = Event()
 
     def replace(self, revision: int, objects: Sequence[StoredObject]) -> None:
-        """Take in a whole list; changes before it are not known."""
+        """Replace the objects by a complete list; changes before it are unknown."""
         self._objects = {stored.name: stored for stored in objects}
         self._changes.clear()
         self._complete_since = revision
         self._advance(revision)
 
     def apply(self, revision: int, objects: Sequence[StoredObject]) -> None:
-        """Take in the changes up to a revision."""
+        """Apply the changes up to a revision."""
         for stored in objects:
             if stored.deleted:
                 self._objects.pop(stored.name, None)
@@ -75,15 +75,15 @@
         self._advance(revision)
 
     def confirm(self, age: float) -> None:
-        """Learn that the store confirmed what is known here some seconds ago."""
+        """Record that the store confirmed the cache some seconds ago."""
         self.confirmed_at = max(self.confirmed_at, steady() - age)
 
     def age(self) -> float:
-        """Return the seconds since the store confirmed this, in steps that peers can share."""
+        """Return the seconds since the store confirmed the cache, rounded to tenths."""
         return round(steady() - self.confirmed_at, _AGE_DIGITS)
 
     def snapshot(self, wait: float = 0.0) -> Snapshot | None:
-        """Return the list, waiting for a first one; None if nothing was followed yet."""
+        """Return all objects, waiting for a first list; None if there is none in time."""
         if self.revision is None:
             with eventlet.Timeout(wait, False):
                 self._updated.wait()
@@ -92,7 +92,7 @@
         return Snapshot(self.revision, tuple(self._objects.values()), self.age())
 
     def changes_since(self, since: int, wait: float) -> WatchBatch | None:
-        """Return the changes after a revision, waiting for some; None before a first list."""
+        """Return the changes after a revision, waiting for some; None before the first list."""
         if self.revision is None:
             return None
         if self.revision <= since:
@@ -115,12 +115,12 @@
 
 
 class WatchRelay:
-    """Answers peers that ask for lists and changes.
+    """Handles requests of peers for lists and changes.
 
     Parameters
     ----------
     kinds : sequence of str
-        Those that are followed here.
+        Kinds of objects that this instance follows.
     """
 
     def __init__(self, kinds: Sequence[str]):
@@ -128,7 +128,13 @@
         self._encoded: dict[tuple, tuple[Headers, bytes]] = {}
 
     def handle(self, exchange: Exchange) -> bool:
-        """Answer a peer's question; False if it is none of this relay's."""
+        """Answer a request of a peer.
+
+        Returns
+        -------
+        bool
+            False if the path is not one of the relay's; the request is then unanswered.
+        """
         url = urlsplit(exchange.head.target.decode("latin-1"))
         for path, reply in ((_LIST_PATH, self._handle_list), (_WATCH_PATH, self._handle_watch)):
             cache = self.caches.get(url.path.removeprefix(path))
@@ -154,7 +160,7 @@
         self._respond(exchange, (id(cache), since, batch.revision, batch.age), batch)
 
     def _respond(self, exchange: Exchange, key: tuple, value: Snapshot | WatchBatch) -> None:
-        """Send a value; what several peers ask for is encoded once."""
+        """Send a value, encoding it once for all peers that request it."""
         if key not in self._encoded:
             while len(self._encoded) >= _MAX_ENCODED:
                 self._encoded.pop(next(iter(self._encoded)))
@@ -168,14 +174,14 @@
 
 
 class PeerStore(ObjectStore):
-    """Lists and watches at a peer's relay; nothing else.
+    """Read access to the relay of a peer: lists and watches only.
 
     Parameters
     ----------
     address : HostPort
     connections : ConnectionPool
     on_transfer : callable, optional
-        See `ask_peer`.
+        See `get_from_peer`.
     """
 
     def __init__(
@@ -208,5 +214,7 @@
             self.address, path.encode(), seconds, self.connections, answer_type, self.on_transfer
         )
         if answer is None:
-            return Failure(PlatformUnavailable("the peer doesn't pass on what it follows"))
+            return Failure(
+                PlatformUnavailable("the peer did not answer or has no list of this kind")
+            )
         return Success(answer)
--- a/whinrack/edge/_restore_reconciliation.py
+++ b/whinrack/edge/_restore_reconciliation.py
@@ -1,7 +1,8 @@
-"""What is believed of targets for a while after the store came back from a copy.
+"""Reconciliation of target lists after the store was restored from a copy.
 
-The copy lacks entries that were written since, and has some whose end was known here. Those who
-wrote the lost ones write them again; the others lapse again. Decisions only, no I/O.
+The copy lacks entries that were written after it was made, and contains entries that have been
+deleted since. Writers write their lost entries again; deleted entries expire again. Decisions only,
+no I/O.
 """
 
 from collections.abc import Collection
@@ -10,21 +11,21 @@
 
 __all__ = ["RestoreReconciler"]
 
-# Entries that are lost are written again within two seconds where their targets live.
+# Lost entries of targets that still run are written again within two seconds.
 _REWRITE_SECONDS = 2.5
-# Entries of targets that have ended lapse again after three missing heartbeats.
+# Entries of targets that have ended expire after three missing heartbeats.
 _EXPIRY_SECONDS = 5.0
 _SLACK_SECONDS = 0.1
 
 
 class RestoreReconciler:
-    """Sorts what the lists of a later era say into what is believed at once, and what later.
+    """Decides which entries of a list of a later era are used at once.
 
     Attributes
     ----------
     ended : set of str
-        Names in the copy whose end was known before; not believed for `_LAPSED_SECONDS`, unless
-        they are written again.
+        Names that were deleted before the restore. Entries with these names are ignored for
+        `_EXPIRY_SECONDS`, unless they are written again.
     """
 
     def __init__(self):
@@ -34,17 +35,22 @@
         self._expiry_deadline = float("-inf")
 
     def observe_list(self, revision: int, gone: Collection[str], now: float) -> tuple[float, ...]:
-        """Take in the revision of a list.
+        """Detect a new era from the revision of a list.
 
         Parameters
         ----------
+        revision : int
+            Revision of the list.
         gone : collection of str
-            Names whose end is known.
+            Names of entries that are known to be deleted.
+        now : float
+            Steady clock, seconds.
 
         Returns
         -------
         tuple of float
-            After how many seconds the list has to be looked at again.
+            Delays in seconds after which the list has to be applied again; empty without a
+            restore.
         """
         era, before = revision_era(revision), self._era
         if before is not None and era <= before:
@@ -60,7 +66,17 @@
     def reconcile(
         self, listed: Collection[StoredObject], known: Collection[StoredObject], now: float
     ) -> list[StoredObject]:
-        """Return the entries to believe, of a list and of what was known before it."""
+        """Return the entries to use.
+
+        Parameters
+        ----------
+        listed : collection of StoredObject
+            Entries of the list.
+        known : collection of StoredObject
+            Entries known before the list.
+        now : float
+            Steady clock, seconds.
+        """
         if now >= self._expiry_deadline:
             self.ended.clear()
         entries = [stored for stored in listed if stored.name not in self.ended]
--- a/whinrack/edge/_settings_follower.py
+++ b/whinrack/edge/_settings_follower.py
@@ -1,4 +1,4 @@
-"""Settings that change while the process runs."""
+"""Reloading of settings in a running process."""
 
 import contextlib
 from collections.abc import Callable
@@ -11,21 +11,21 @@
 
 __all__ = ["SettingsFollower"]
 
-# How often the settings are read without a signal.
+# Interval at which the settings are read without a signal.
 _POLL_SECONDS = 5.0
 
 
 class SettingsFollower:
-    """Reads the settings again and passes on what comes into force without a restart.
+    """Rereads the settings and applies the options that need no restart.
 
     Parameters
     ----------
     options : EdgeOptions
-        Those in force at the start.
+        Options in force at the start.
     read : callable
         Reads the settings and returns the `EdgeOptions`; raises `InvalidSettings`.
     apply : callable
-        Called with the `EdgeOptions` that are in force from now on.
+        Called with the changed `EdgeOptions`.
     """
 
     def __init__(
@@ -39,7 +39,7 @@
         self.apply = apply
 
     def reload(self) -> None:
-        """Put changed settings in force; invalid ones change nothing."""
+        """Apply changed settings; log invalid ones and keep the current options."""
         try:
             read = self.read()
         except InvalidSettings as error:
@@ -48,10 +48,10 @@
         self._apply_reloaded(reload_options(self.options, read))
 
     def follow(self) -> None:
-        """Notice changes that no signal told, for ever."""
+        """Poll the settings for changes until the process ends."""
         while True:
             eventlet.sleep(_POLL_SECONDS)
-            # Invalid settings are logged when a signal asks for them.
+            # Invalid settings are logged only when a signal requests a reload.
             with contextlib.suppress(InvalidSettings):
                 reloaded = reload_options(self.options, self.read())
                 if reloaded.changed:
--- a/whinrack/edge/_store_availability.py
+++ b/whinrack/edge/_store_availability.py
@@ -1,4 +1,4 @@
-"""Whether the store answers, and waking those who wait for it."""
+"""Whether the store is available, and waiting until it is."""
 
 from collections.abc import Callable
 
@@ -9,15 +9,15 @@
 
 
 class StoreAvailability:
-    """What the latest call to the store showed.
+    """Availability of the store as of the latest call.
 
-    While the store is away one task probes it; the others wait here and go on as soon
-    as it answers, so that an outage costs few calls and ends for all at once.
+    During an outage one task probes the store. The others wait here and resume as soon as it
+    answers, so that an outage causes few calls and ends for all tasks at once.
 
     Parameters
     ----------
     on_change : callable
-        Called with True when the store answers again, with False when it is lost.
+        Called with True when the store answers again, with False when it stops answering.
     """
 
     def __init__(self, on_change: Callable[[bool], None]):
@@ -26,7 +26,7 @@
         self._recovered = Event()
 
     def report(self, answered: bool) -> None:
-        """Take in the outcome of a call."""
+        """Record whether a call was answered."""
         if answered == self.is_available:
             return
         self.is_available = answered
@@ -36,7 +36,7 @@
         self.on_change(answered)
 
     def wait_until_available(self, seconds: float) -> None:
-        """Return when the store answers again, or after some seconds."""
+        """Wait until the store answers again, at most for some seconds."""
         if not self.is_available:
             with Timeout(seconds, False):
                 self._recovered.wait()
--- a/whinrack/edge/_suspects.py
+++ b/whinrack/edge/_suspects.py
@@ -1,4 +1,4 @@
-"""Carries the quarantine's knowledge between instances, and to and from the store."""
+"""Exchange of quarantine cases between instances and with the store."""
 
 from collections.abc import Callable
 
@@ -17,39 +17,40 @@
 
 __all__ = ["SuspectExchange"]
 
-# Instances that count the ends of targets under one request; any one of them may be away.
+# Instances that count the crashes of targets for one request; any one of them may be down.
 _OWNER_COUNT = 3
-# Cases in one datagram; each is at most some 600 bytes.
+# Cases in one datagram; each takes up to about 600 bytes.
 _MAX_CASES_PER_MESSAGE = 80
-# A peer that knows other cases is told at most so often, seconds.
+# Minimum interval between two messages with all suspects to one peer.
 _RESEND_INTERVAL_SECONDS = 0.5
-# Between two looks at the store while a peer is missed: it may be cut off from here and not from
-# there, and only the store tells what it knows. Then less often, seconds.
+# Interval between reads of the store while a peer is missing, and after a while a longer one. The
+# peer may be cut off from this instance but not from the store, which then is the only way to get
+# its cases.
 _READ_INTERVAL_SECONDS = 2.0
 _SLOW_READ_INTERVAL_SECONDS = 10.0
 _FREQUENT_READ_SECONDS = 20.0
-# After a call that failed.
+# Delay after a failed call.
 _RETRY_SECONDS = 0.5
-# Changes that come in quick succession share a write.
+# Delay before a write, so that changes in quick succession share it.
 _WRITE_DELAY_SECONDS = 0.1
 
 
 class SuspectExchange(QuarantineHost):
-    """Sends cases to peers, takes theirs in, and keeps the suspects in the store.
+    """Exchanges cases with peers and stores the suspected requests.
 
     Parameters
     ----------
     name : str
-        This instance.
+        Name of this instance.
     store : ObjectStore
-    availability : StoreContact
+    availability : StoreAvailability
     link : GossipLink
     table : PeerTable
     wall_clock : callable
-        Returns the Unix time, seconds.
+        Returns the Unix time in seconds.
     metrics : Metrics
     is_following_store : callable
-        Whether this instance hears from the store itself, not from a peer that does.
+        Returns whether this instance follows the store itself, not a peer.
     """
 
     def __init__(
@@ -83,7 +84,7 @@
     # --- to the peers ---------------------------------------------------------------
 
     def send_to_owners(self, case: Case) -> None:
-        """Tell the instances that a fingerprint falls to."""
+        """Send a case to the owners of its fingerprint."""
         peers = {
             view.state.sender.name: view.state.sender.address
             for view in self.table.live_peers(steady())
@@ -93,7 +94,7 @@
                 self._send([case], peers[name])
 
     def send_to_all(self, cases: list[Case]) -> None:
-        """Tell all instances; one that misses it learns by the checksums."""
+        """Send cases to all peers; one that misses them is corrected through the checksums."""
         for view in self.table.live_peers(steady()):
             self._send(cases, view.state.sender.address)
 
@@ -105,18 +106,18 @@
     # --- from the peers -------------------------------------------------------------
 
     def receive(self, message: SuspectCases, address: HostPort) -> None:
-        """Take in what a peer knows, and tell it what it lacks."""
+        """Merge the cases of a peer and send it the cases that it lacks."""
         missing_cases = self.quarantine.merge_cases(message.cases, message.sender)
         self._update_metrics()
         if missing_cases:
             self._send(missing_cases, address)
 
     def checksum(self) -> int:
-        """Return what two instances that know the same suspects have in common."""
+        """Return a checksum that is equal at instances with the same suspects."""
         return self.quarantine.table.checksum()
 
     def compare(self, checksum: int, peer: HostPort) -> None:
-        """Tell a peer with another checksum all suspects; it does the same."""
+        """Send all suspects to a peer with a different checksum; it does the same."""
         if checksum == self.checksum():
             return
         now = steady()
@@ -128,18 +129,18 @@
     # --- the store ------------------------------------------------------------------
 
     def reaches_store(self) -> bool:
-        """Whether the store answers calls from here."""
+        """Return whether the store answers calls of this instance."""
         return self.availability.is_available
 
     def schedule_save(self) -> None:
-        """Have the suspects written soon."""
+        """Schedule a write of the suspects."""
         self._update_metrics()
         self._has_unsaved = True
         if not self._changed.ready():
             self._changed.send(None)
 
     def schedule_save_after_restore(self) -> None:
-        """Have the suspects written once more: the store may have lost them."""
+        """Schedule a write of the suspects after a restore, which may have lost them."""
         if self.quarantine.table.suspect_cases():
             self.schedule_save()
 
@@ -163,7 +164,7 @@
         return True
 
     def _read_forever(self) -> None:
-        """Read at the start, and while a peer is missed."""
+        """Read the stored cases at the start and while a peer is missing."""
         missing_since = None
         while True:
             now = steady()
--- a/whinrack/edge/_tokens.py
+++ b/whinrack/edge/_tokens.py
@@ -1,4 +1,4 @@
-"""The daemon's part in moving tokens: its keeper, its peers, and who writes the books."""
+"""Exchange of tokens with the store and the peers."""
 
 from collections.abc import Callable
 
@@ -28,27 +28,27 @@
 __all__ = ["TokenExchange"]
 
 _ACCOUNT_NAME = "account-0000"
-# Orders that arrive within this time share one write, seconds.
+# Orders that arrive within this time share one write.
 _BATCH_SECONDS = 0.02
-# Orders that nobody waits for are collected for so long in a large fleet.
+# In a large fleet, orders that no request waits for are collected for this time.
 _REPORT_BATCH_SECONDS = 0.2
 
 
 class TokenExchange:
-    """Wires the keeper of grants to the store and to the peers.
+    """Connects the grants of this instance to the store and to the peers.
 
     Parameters
     ----------
     options : EdgeOptions
     holder : str
-        This run.
+        Identifier of this run.
     store : ObjectStore
     link : GossipLink
     peers : PeerTable
     wall_clock : callable
-        Reads the time of day.
+        Returns the time of day.
     own_state : callable
-        Returns what this instance says of itself.
+        Returns the `PeerState` of this instance.
     """
 
     def __init__(
@@ -83,7 +83,7 @@
         )
 
     def receive(self, message: Message, address: tuple[str, int]) -> None:
-        """Take in a peer's message; what may block runs in a green thread of its own."""
+        """Dispatch a peer's message; handlers that may block run in a green thread of their own."""
         if isinstance(message, TokenReply):
             self._on_token_reply(message)
         elif isinstance(message, DrawAccepted):
@@ -98,7 +98,7 @@
             eventlet.spawn_n(self._handle_token_request, message, address)
 
     def resend_given_totals(self) -> None:
-        """Tell the peers once more what they were given: a stop makes it final."""
+        """Send each peer the total that it was given, which is final at shutdown."""
         by_run = {view.state.incarnation: view for view in self.peers.live_peers(steady())}
         for given in self.grant_manager.given_totals():
             view = by_run.get(given.receiver)
@@ -107,7 +107,7 @@
                 self.link.send(reply, view.state.sender.address)
 
     def _collect_orders(self, batch: OrderBatch) -> None:
-        """Wait for others' orders before a write; in a large fleet reports wait longer."""
+        """Wait for further orders before a write, longer for reports in a large fleet."""
         eventlet.sleep(_BATCH_SECONDS)
         if self.peers.is_full_mesh:
             return
@@ -140,7 +140,13 @@
 
 
 def _run_isolated(function: Callable, seconds: float | None):
-    """Run to the end in a green thread of its own, whatever happens to the waiter."""
+    """Run a function in a green thread of its own, so that it outlives a timeout of the caller.
+
+    Returns
+    -------
+    object
+        Result of the function, None if it takes longer than the given seconds.
+    """
     with eventlet.Timeout(seconds, False):
         return eventlet.spawn(function).wait()
     return None
--- a/whinrack/edge/_traffic.py
+++ b/whinrack/edge/_traffic.py
@@ -1,4 +1,4 @@
-"""How many bytes move between instances and to targets, by message and by data hall."""
+"""Accounting of network traffic by kind of message and by locality."""
 
 from collections import Counter
 from collections.abc import Callable
@@ -10,7 +10,7 @@
 
 
 class Locality(Enum):
-    """Where the other instance is."""
+    """Location of the other end, relative to the data hall of this instance."""
 
     OWN_HALL = "own_hall"
     OTHER_HALL = "other_hall"
@@ -18,19 +18,19 @@
 
 
 class TrafficMeter:
-    """Counts messages and bytes that move between this instance and others, and targets.
+    """Counts the messages and bytes exchanged with other instances and with targets.
 
-    Datagrams are counted by who sends them, answers to questions by who asked: summed over
-    all instances each byte is counted once.
+    Datagrams are counted by the sender and answers by the instance that requested them, so that
+    each byte is counted once in the sum over all instances.
 
     Parameters
     ----------
     own_hall : str
-        The data hall of this instance.
+        Data hall of this instance.
     hall_of : callable
-        Returns the data hall of the instance at an IP address, None if it isn't known.
+        Returns the data hall of the instance at an IP address, None if unknown.
     count_bytes : callable
-        Called with the name of the message, its `Place` and its bytes.
+        Called with the name of the message, its `Locality` and its size in bytes.
     """
 
     def __init__(
@@ -50,7 +50,7 @@
         self.record_for_hall(name, self.hall_of(address[0]), size)
 
     def record_for_hall(self, name: str, hall: str | None, size: int) -> None:
-        """Count a message to a data hall, or one from there; None if it isn't known."""
+        """Count a message to or from a data hall, None if the hall is unknown."""
         locality = self._locality(hall)
         self.messages[name, locality] += 1
         self.bytes[name, locality] += size
--- a/whinrack/edge/_upkeep.py
+++ b/whinrack/edge/_upkeep.py
@@ -1,4 +1,4 @@
-"""What an instance writes of itself: log lines that wait, sleeps of the machine, traffic."""
+"""Writing of buffered log lines and periodic log events."""
 
 import eventlet
 
@@ -15,7 +15,7 @@
 
 
 class Upkeep:
-    """Writes waiting log lines, and lines on what is counted.
+    """Writes buffered log lines, and logs dropped lines, suspensions and traffic.
 
     Parameters
     ----------
@@ -35,7 +35,7 @@
         self._reported_drops = 0
 
     def write_logs_forever(self) -> None:
-        """Write what waits; tell of lines that were left out and of sleeps of the machine."""
+        """Write buffered lines; log dropped lines and suspensions of the machine."""
         sleep_watch = SleepWatch()
         while True:
             slept = sleep_watch.slept()
@@ -48,13 +48,13 @@
             eventlet.sleep(_WRITE_INTERVAL_SECONDS)
 
     def log_traffic_forever(self) -> None:
-        """Tell now and then what moved."""
+        """Log the traffic periodically until the process ends."""
         while True:
             eventlet.sleep(_TRAFFIC_LOG_INTERVAL_SECONDS)
             self.log_traffic()
 
     def log_traffic(self) -> None:
-        """Tell what moved between this instance and others since its start."""
+        """Log the traffic between this instance and others since its start."""
         log_event(
             Event.TRAFFIC,
             sent=self.traffic.summary(),
--- a/whinrack/edge/_upstream_selection.py
+++ b/whinrack/edge/_upstream_selection.py
@@ -1,4 +1,4 @@
-"""Who follows the store itself, and who is fed by a peer that does."""
+"""Selection of the upstream: the store itself, or a peer that relays it."""
 
 import math
 from collections.abc import Callable
@@ -17,26 +17,29 @@
 
 __all__ = ["FleetUpstreamSelector", "choose_relays", "choose_store_halls"]
 
-# Instances of each data hall that feed the others. The first of them follows the store, or another
-# hall's; the second is fed by it, and takes its place as soon as the first one doesn't answer.
+# Relays in each data hall. The first follows the store or a relay of another hall. The second
+# follows the first and replaces it as soon as the first does not answer.
 _RELAYS_PER_HALL = 2
-# For so many instances one data hall follows the store; the other halls are fed by it. With each
-# hall following, 24 instances in five halls made 1,304 calls in a day of 68 s, and 718 with two.
+# One data hall follows the store for this many instances of the fleet; the other halls follow its
+# relay. In a run of 68 s, 24 instances in five halls made 1,304 calls when all halls followed the
+# store and 718 when two did.
 _INSTANCES_PER_STORE_HALL = 40
-# At least, since only instances that the store answered lately write the books.
+# At least two halls follow the store, because only instances with a recent answer of the store
+# write accounts.
 _MIN_STORE_HALLS = 2
-# For so long a peer that didn't answer isn't asked again, seconds.
+# A peer that did not answer is not selected again for this time.
 _AVOID_SECONDS = 3.0
-# Between two looks at whether peers are known.
+# Interval at which `wait_for_peers` checks the peer table.
 _POLL_SECONDS = 0.02
 
 
 def choose_relays(states: list[PeerState], hall: str) -> list[PeerState]:
-    """Return the instances of a data hall that feed the others there, in order.
+    """Return the relays of a data hall in order of preference.
 
-    While the store answers nobody, the choice doesn't depend on who has noticed that: else one
-    instance after the other takes over, asks the store in vain and counts it as lost: 5,854
-    changes of source and 1,083 watches that failed in two outages of 8 s for 195 instances.
+    While the store answers no instance, the choice does not depend on which instances have noticed
+    it. Otherwise one instance after the other takes over, fails to reach the store and is replaced
+    in turn: two outages of 8 s caused 5,854 changes of upstream and 1,083 failed watches in a fleet
+    of 195 instances.
 
     Parameters
     ----------
@@ -53,7 +56,7 @@
 
 
 def choose_store_halls(states: list[PeerState]) -> list[str]:
-    """Return the data halls whose first feeders follow the store, in a fixed order.
+    """Return the data halls whose first relay follows the store, in a fixed order.
 
     Parameters
     ----------
@@ -68,24 +71,24 @@
 
 
 class FleetUpstreamSelector(UpstreamSelector):
-    """In a large fleet one instance of each data hall feeds the others there.
+    """Selects the upstream of an instance from the state of the fleet.
 
-    It follows the store itself, or in a fleet of some tens is fed by one in another hall that does.
-    An instance without a peer that would feed it follows the store itself, and so does
-    each while the fleet is small.
+    In a large fleet one instance of each data hall relays the store to the others there. It
+    follows the store, or a relay of another hall if the fleet has more halls than need to follow
+    the store. An instance for which no relay is available follows the store, and so do all
+    instances of a small fleet.
 
     Parameters
     ----------
     store : ObjectStore
-    availability : StoreContact
+    availability : StoreAvailability
     own_state : callable
-        Returns what this instance says of itself.
+        Returns the `PeerState` of this instance.
     peers : PeerTable
     on_transfer : callable, optional
-        See `ask_peer`.
+        See `get_from_peer`.
     settle_seconds : float, optional
-        Time after the start in which peers may make themselves known; until then the store
-        isn't asked.
+        Time after the start that is allowed for peer discovery; the store is not called before.
     """
 
     def __init__(
@@ -109,21 +112,21 @@
         self._store_preferred_until = float("-inf")
 
     def wait_for_peers(self) -> None:
-        """Wait until the peers are known, or so much time has passed that there may be none.
+        """Wait until the peers are known, at most for the settle time.
 
-        Without it each instance of a large fleet follows the store itself at first: 3,670 of
-        6,503 calls of a day for 195 instances were watches and lists of its first 20 s.
+        Without this each instance of a large fleet follows the store at first: in a run of 195
+        instances, 3,670 of 6,503 calls were watches and lists of its first 20 s.
         """
         end = steady() + self.settle_seconds
         while self.peers.is_full_mesh and steady() < end:
             eventlet.sleep(_POLL_SECONDS)
 
     def is_store_likely_available(self) -> bool:
-        """Whether a peer has heard from the store lately."""
+        """Return whether a peer has reached the store recently."""
         return bool(self.peers.peers_with_store(steady()))
 
     def select(self) -> Upstream:
-        """Return whom to ask next."""
+        """Return the upstream for the next call."""
         now = steady()
         if self.peers.is_full_mesh or (
             self.availability.is_available and now < self._store_preferred_until
@@ -136,7 +139,10 @@
         return Upstream(PeerStore(address, self._connections, self.on_transfer), address)
 
     def report_failure(self, upstream: Upstream) -> None:
-        """Learn that a peer didn't answer; another hall's may be cut off with all of that hall."""
+        """Avoid a peer that did not answer for a while.
+
+        A peer in another hall may be cut off together with its hall, so that hall is avoided too.
+        """
         now = steady()
         self._avoided_until[upstream.address] = now + _AVOID_SECONDS
         hall = self._data_hall_of(upstream.address, now)
@@ -144,10 +150,10 @@
             self._halls_avoided_until[hall] = now + _AVOID_SECONDS
 
     def report_stale(self, upstream: Upstream) -> None:
-        """Leave a peer that passes on old knowledge though it says that it reaches the store.
+        """Avoid a peer that relays stale data although it reports the store as reachable.
 
-        One that says that it lost the store is kept: others are chosen as watchers by that
-        word already, and in an outage for all there is nobody better.
+        A peer that reports the store as unreachable is kept: relays are already chosen by that
+        report, and in an outage for all instances there is no better one.
         """
         live = self.peers.live_peers(steady())
         states = {view.state.sender.address: view.state for view in live}
@@ -156,11 +162,11 @@
             self.report_failure(upstream)
 
     def prefer_store(self) -> None:
-        """Follow the store for a while; others that can't reach it are fed from here then."""
+        """Follow the store for a while, so that peers without it can follow this instance."""
         self._store_preferred_until = steady() + _AVOID_SECONDS
 
     def _choose_relay(self, now: float) -> PeerState | None:
-        """Return the peer that feeds this instance, None if it follows the store."""
+        """Return the relay that this instance follows, None if it follows the store."""
         own = self.own_state()
         states = [view.state for view in self.peers.live_peers(now)]
         usable = [
@@ -179,7 +185,7 @@
     def _choose_remote_relay(
         self, states: list[PeerState], own_hall: str, now: float
     ) -> PeerState | None:
-        """Return who feeds the first feeder of this hall, None if that one follows the store."""
+        """Return the relay that the first relay of this hall follows, None for the store."""
         halls = choose_store_halls(states)
         if own_hall in halls:
             return None
@@ -189,7 +195,7 @@
         return None
 
     def _data_hall_of(self, address: HostPort, now: float) -> str | None:
-        """Return the data hall of the live peer at an address, None if there is none."""
+        """Return the data hall of the live peer at an address, None if there is no such peer."""
         halls = {
             view.state.sender.address: view.state.data_hall for view in self.peers.live_peers(now)
         }
--- a/whinrack/edge/_warm_up_log.py
+++ b/whinrack/edge/_warm_up_log.py
@@ -1,4 +1,4 @@
-"""Tells which targets are cold and why, when that changes."""
+"""Logging of cold targets and the reasons, when they change."""
 
 from collections import Counter
 
@@ -10,7 +10,7 @@
 
 __all__ = ["WarmUpLog"]
 
-# Between two looks; a line a pool at most for each.
+# Interval between updates; each logs at most one line per pool.
 _UPDATE_INTERVAL_SECONDS = 1.0
 
 
@@ -20,7 +20,7 @@
     Parameters
     ----------
     registry : TargetRegistry
-    current_configuration : Directory
+    current_configuration : CurrentConfiguration
     metrics : Metrics
     """
 
@@ -36,19 +36,19 @@
         self._logged: dict[str, frozenset[str]] = {}
 
     def run(self) -> None:
-        """Look for ever."""
+        """Update periodically until the process ends."""
         while True:
             eventlet.sleep(_UPDATE_INTERVAL_SECONDS)
             self.update()
 
     def update(self) -> None:
-        """Log what has changed since the last look."""
+        """Update the metrics and log pools whose cold targets have changed."""
         self.metrics.emptied_halls.set(len(self.registry.emptied_halls.names))
         pools = self.current_configuration.pools
         self.metrics.cold_targets.set(sum(map(self._update_pool, pools)))
 
     def _update_pool(self, pool: PoolRecord) -> int:
-        """Return how many targets of a pool are cold."""
+        """Log the cold targets of a pool if they have changed, and return their number."""
         if pool.cold_start is None:
             return 0
         states = self.registry.cold_targets(pool.name, pool.cold_start, steady())
--- a/whinrack/edge/tests/fake_peers.py
+++ b/whinrack/edge/tests/fake_peers.py
@@ -1,4 +1,4 @@
-"""One instance's table of peers and a clock that is set, for tests of what stands on it."""
+"""A peer table with a fake clock, for tests of classes that use the table."""
 
 import msgspec
 
@@ -19,7 +19,7 @@
 
 
 def ready_state(address, sequence=1, **fields):
-    """Return the state of an instance that serves callers, with some fields set."""
+    """Return the state of an instance that accepts callers, with some fields set."""
     state = PeerState(
         incarnation=f"{address.name}.1",
         sequence=sequence,
@@ -35,7 +35,7 @@
 
 
 class FakePeers:
-    """The table, and peers that are heard; `module` is the one whose clock is set."""
+    """Peer table with simulated heartbeats; `module` is the module whose clock is replaced."""
 
     def __init__(self, monkeypatch, module):
         self.now = 100.0
@@ -43,7 +43,7 @@
         self.table = PeerTable("a", silent_seconds=0.9, forget_seconds=60.0)
 
     def hear(self, *peers, **fields):
-        """Let heartbeats of some peers come, with some fields of their states set."""
+        """Receive heartbeats of some peers, with some fields of their states set."""
         for peer in peers:
             address = PeerAddress(f"p{peer}", f"10.0.1.{peer}", 7340)
             state = ready_state(address, sequence=int(self.now * 10), **fields)
--- a/whinrack/edge/tests/test_emptied_halls.py
+++ b/whinrack/edge/tests/test_emptied_halls.py
@@ -1,4 +1,4 @@
-"""How words on emptied data halls reach an instance, and what it makes of them."""
+"""Statements on emptied data halls from the store and from peers."""
 
 import msgspec
 
@@ -23,7 +23,7 @@
 
 
 class Harness:
-    """One instance's knowledge of halls."""
+    """Hall knowledge of one instance."""
 
     def __init__(self, store=None):
         self.store = store or MemoryStore()
--- a/whinrack/edge/tests/test_entry_selection.py
+++ b/whinrack/edge/tests/test_entry_selection.py
@@ -1,4 +1,4 @@
-"""Which instances callers are sent to, and which follow the store."""
+"""Selection of the instances that callers connect to, and of the relays."""
 
 import random
 
@@ -113,7 +113,7 @@
 
 
 def test_relays_stay_the_same_while_nobody_reaches_the_store():
-    """Whoever tries and fails is not replaced by the next, who would fail as well."""
+    """A relay that fails to reach the store is not replaced by one that would fail as well."""
     before = names(choose_relays(fleet(90), "h"))
     assert len(before) == 2
     lost = [
@@ -145,7 +145,7 @@
 
 
 def test_probes_alone_do_not_count_as_serving_callers():
-    """One probe a second, by chance: its estimated rate swings about one."""
+    """Random probes of one per second on average: the estimated rate fluctuates around one."""
     chance, arrivals = random.Random(3), DemandEstimate(half_life=2.0)
     now, turns, served = 0.0, 0, False
     while now < 120.0:
--- a/whinrack/edge/tests/test_kind_follower.py
+++ b/whinrack/edge/tests/test_kind_follower.py
@@ -1,4 +1,4 @@
-"""Following the store, and waiting for it while it is away."""
+"""Following of the store and waiting for it during an outage."""
 
 import eventlet
 from returns.result import Failure, Success
@@ -99,7 +99,7 @@
 
 
 def test_a_probe_of_an_unavailable_store_returns_at_once():
-    """Nothing may change for long after an outage: a held watch would tell it late."""
+    """A held watch reports the recovery late, since nothing may change for long after an outage."""
     waits = []
 
     class RecordingStore(MemoryStore):
@@ -120,7 +120,7 @@
 
 
 class FailingStore(MemoryStore):
-    """A store whose next answers are lost on the way, or refused."""
+    """A store whose next watches fail."""
 
     def __init__(self, *failures):
         super().__init__()
@@ -163,7 +163,7 @@
 
 
 class FallbackSelector(UpstreamSelector):
-    """A plan that sends the follower to a peer, until that fails."""
+    """Selects a peer until that is reported as failed or stale, then the store."""
 
     def __init__(self, store, peer):
         super().__init__(store)
@@ -183,7 +183,7 @@
 
 
 class StalePeer(MemoryStore):
-    """A peer that knows nothing newer, and heard the store some seconds ago."""
+    """A peer without changes whose data was confirmed some seconds ago."""
 
     def __init__(self, age):
         super().__init__()
@@ -224,7 +224,7 @@
 
 
 def test_a_peer_with_stale_data_is_left_though_it_answers():
-    """What a feeder passes on may be old: its answer says how old, and that counts."""
+    """The answer of a relay states the age of its data, which decides."""
     store, peer, seen = MemoryStore(), StalePeer(60.0), []
     follower = make_peer_follower(store, peer, seen, [])
     for _ in range(2):
@@ -236,7 +236,7 @@
 
 
 def test_a_gap_does_not_refresh_the_confirmation_time():
-    """The changes in the gap are missing: what is known has not become fresher by it."""
+    """The changes in the gap are missing, so the known objects are not up to date."""
     peer = StalePeer(0.0)
     follower = make_follower(peer, [])
     follower.poll()
@@ -247,7 +247,7 @@
 
 
 def test_changes_in_quick_succession_share_a_watch():
-    """Twenty changes within 0.4 s cost a few calls."""
+    """Twenty changes within 0.4 s cause few calls."""
     store, seen = MemoryStore(), []
     store.calls = 0
     follower = make_follower(store, seen)
@@ -265,7 +265,7 @@
 
 
 class LaggingPeer(MemoryStore):
-    """A peer that has not heard from the store for some seconds, and has no news."""
+    """A peer without changes that has not reached the store for some seconds."""
 
     def __init__(self, age):
         super().__init__()
@@ -276,7 +276,7 @@
 
 
 class SwitchingSelector(UpstreamSelector):
-    """Follows the store until a peer is known, and again when it is told to."""
+    """Selects the store until a peer is set, and again after `prefer_store`."""
 
     peer = None
     is_store_preferred = False
@@ -291,7 +291,7 @@
 
 
 def selector_after_watching(peer, answers=True):
-    """Return the plan of an instance that heard from the store and then is fed by a peer."""
+    """Return the selector of a follower that polled the store and then a peer."""
     upstreams, availability = (
         SwitchingSelector(MemoryStore()),
         StoreAvailability(lambda answers: None),
@@ -306,8 +306,8 @@
 
 
 def test_the_store_is_preferred_when_a_peers_data_is_older_than_the_last_store_answer():
-    """An instance that restarted while all others were cut off followed these, and answered
-    by an old configuration for 5 s though the store was in its reach."""
+    """Otherwise an instance that restarted while all others were cut off from the store followed
+    them and used an old configuration for 5 s although it could reach the store."""
     assert selector_after_watching(LaggingPeer(2.9)).is_store_preferred
 
 
--- a/whinrack/edge/tests/test_knowledge.py
+++ b/whinrack/edge/tests/test_knowledge.py
@@ -1,4 +1,4 @@
-"""What is learnt from peers, and what the store's word goes before."""
+"""Knowledge from the store and from peers, and which of them takes precedence."""
 
 import contextlib
 
@@ -52,7 +52,7 @@
 
 
 class Harness:
-    """One instance's knowledge, and what its peer answers."""
+    """Knowledge of one instance, and the answer of its peer."""
 
     def __init__(self, store, upstreams=None):
         self.answer = None
@@ -144,7 +144,7 @@
 
 
 def harness_with(*names):
-    """An instance that has listed some targets, at versions 1, 2 and so on."""
+    """Return an instance that has listed some targets, at versions 1, 2 and so on."""
     store = MemoryStore()
     for name in names:
         store.put("target", name, b'"ready"', 0)
@@ -175,7 +175,7 @@
 
 
 class QuietPeer(MemoryStore):
-    """A peer that has no news."""
+    """A peer that has no changes."""
 
     def watch(self, kinds, since, wait):
         eventlet.sleep(wait)
@@ -184,7 +184,7 @@
 
 @contextlib.contextmanager
 def running(harness):
-    """Run the loops of an instance meanwhile."""
+    """Run the background tasks of an instance."""
     tasks = [eventlet.spawn(task) for task in harness.knowledge.tasks()]
     yield
     for task in tasks:
@@ -192,14 +192,14 @@
 
 
 class PeerSelector(UpstreamSelector):
-    """A plan that always sends to a peer."""
+    """Always selects a peer."""
 
     def select(self):
         return Upstream(QuietPeer(), PEER)
 
 
 def test_an_instance_that_follows_a_peer_still_probes_an_unavailable_store():
-    """Otherwise it counts it as lost for good, and nobody is left that asks it."""
+    """Otherwise it counts the store as unavailable for good, and finally no instance calls it."""
     store = MemoryStore()
     harness = Harness(store, PeerSelector(store))
     harness.availability.report(False)
@@ -220,7 +220,7 @@
 
 
 class FirstCallFailingStore(MemoryStore):
-    """Doesn't answer the first question."""
+    """Does not answer the first call."""
 
     def __init__(self):
         super().__init__()
--- a/whinrack/edge/tests/test_limit_log.py
+++ b/whinrack/edge/tests/test_limit_log.py
@@ -1,4 +1,4 @@
-"""A target that states another number with each answer floods neither the log nor the peers."""
+"""A target that states a different limit with each answer floods neither log nor peers."""
 
 from whinrack.dispatch import NO_LIMIT, TargetRegistry
 from whinrack.edge import _limit_log as module
--- a/whinrack/edge/tests/test_membership.py
+++ b/whinrack/edge/tests/test_membership.py
@@ -1,4 +1,4 @@
-"""What an instance of a large fleet tells its peers, and whom it asks."""
+"""Heartbeats that an instance of a large fleet sends and answers."""
 
 import msgspec
 import pytest
@@ -21,7 +21,7 @@
 
 
 class Host(MembershipHost):
-    """An instance at rest."""
+    """An idle instance."""
 
     def __init__(self):
         self.newer_configurations = []
@@ -65,7 +65,7 @@
 
 
 class Link:
-    """Keeps what is sent."""
+    """Records the messages that are sent."""
 
     def __init__(self):
         self.sent = []
@@ -75,7 +75,7 @@
 
 
 class FixedConfiguration:
-    """A directory in which only the version matters."""
+    """A configuration with nothing but a version."""
 
     def __init__(self, version):
         self.version = version
@@ -83,7 +83,7 @@
 
 @pytest.fixture
 def membership():
-    """An instance that knows thirty others in three halls."""
+    """An instance that knows thirty peers in three halls."""
     registry = TargetRegistry()
     member = Membership(
         OPTIONS,
@@ -144,7 +144,7 @@
 
 
 def test_a_known_peer_that_knows_nobody_is_sent_all_states_again(membership):
-    """The first answer may be lost; without another one a whole data hall stayed alone."""
+    """The first answer may be lost; without a second one a whole data hall stayed isolated."""
     membership._receive(heartbeat(3, number=2), None)
     ((answer, address),) = membership.link.sent
     assert address == ("10.0.1.3", 7340)
@@ -161,7 +161,7 @@
 
 
 def test_a_newer_configuration_does_not_change_the_sequence_number(membership):
-    """Each tells its own; as news, one change would pass on the states of all instances."""
+    """Each instance states its own version, so peers need not forward all states for a change."""
     membership.current_configuration = FixedConfiguration(1)
     before = membership.own_state()
     membership.current_configuration.version = 2
@@ -177,7 +177,7 @@
 
 
 def test_the_first_peer_that_reaches_the_store_again_is_reported_at_once(membership):
-    """Told by the heartbeats alone, its return reached the last of 24 instances after 1.7 s."""
+    """By periodic heartbeats alone, the last of 24 instances noticed the recovery after 1.7 s."""
     membership.host.store_reachable = False
     returned = msgspec.structs.replace(heartbeat(3).state, store_confirmed=True, sequence=2)
     membership._receive(heartbeat(2, number=2), None)
--- a/whinrack/edge/tests/test_missing_peers.py
+++ b/whinrack/edge/tests/test_missing_peers.py
@@ -1,4 +1,4 @@
-"""Who is missed, by whose word and for how long: the other part of a fleet may go on unheard."""
+"""Missing instances: a peer that is not heard may still run in another partition."""
 
 import msgspec
 import pytest
@@ -14,7 +14,7 @@
         self.missing_peers = MissingPeers(options, self.table)
 
     def advance(self, seconds, *heard):
-        """Let some time pass in which some peers are heard."""
+        """Advance the clock while some peers are heard."""
         end = self.now + seconds
         while self.now < end:
             self.now += 0.5
@@ -61,7 +61,7 @@
     harness.advance(2.0, 1)
     harness.missing_peers.report(True)
     assert not harness.missing_peers.is_fleet_complete
-    # Its own word goes by its own memory: two could keep each other in doubt for ever.
+    # Reports of peers are not repeated: two instances could confirm each other for ever.
     assert not harness.missing_peers.has_missing
     harness.advance(6.0, 1)
     assert harness.missing_peers.is_fleet_complete
--- a/whinrack/edge/tests/test_options.py
+++ b/whinrack/edge/tests/test_options.py
@@ -1,4 +1,4 @@
-"""Which options come into force in a running process."""
+"""Options that can change in a running process."""
 
 import msgspec
 
--- a/whinrack/edge/tests/test_rate_sharers.py
+++ b/whinrack/edge/tests/test_rate_sharers.py
@@ -1,4 +1,4 @@
-"""Whom an instance counts among those that share what cold targets bear."""
+"""Members that share the rate limits of targets, as seen by one instance."""
 
 import msgspec
 import pytest
--- a/whinrack/edge/tests/test_relay.py
+++ b/whinrack/edge/tests/test_relay.py
@@ -1,4 +1,4 @@
-"""Lists and watches that are passed on by peers."""
+"""Lists and watches that a peer relays."""
 
 import eventlet
 import msgspec
--- a/whinrack/edge/tests/test_relay_eras.py
+++ b/whinrack/edge/tests/test_relay_eras.py
@@ -1,4 +1,7 @@
-"""What a fed peer gets once its feeder has heard of a later era."""
+"""Changes that a relay returns after the store was restored with a lower revision number.
+
+A comparison by number alone returned nothing until the old number was exceeded.
+"""
 
 from whinrack.edge._relay import WatchCache
 from whinrack.store import StoredObject, compose_revision
--- a/whinrack/edge/tests/test_settings_follower.py
+++ b/whinrack/edge/tests/test_settings_follower.py
@@ -1,4 +1,4 @@
-"""Settings that are read again."""
+"""Reloading of settings."""
 
 import msgspec
 
--- a/whinrack/edge/tests/test_shared_retries.py
+++ b/whinrack/edge/tests/test_shared_retries.py
@@ -1,8 +1,8 @@
-"""Two parts of a fleet that don't hear each other send again no more than all together may.
+"""Parts of a partitioned fleet stay within the retry budget of the whole fleet.
 
-Each instance took the part of one in so many that look alive, so after a cut each half of eight
-instances shared out the whole slack: 80 further attempts in 10 s where 60 are allowed, and 312 by
-eight that hear nobody.
+When each instance divided the budget by the live instances only, each half of eight instances
+used all of it after a partition: 80 retries in 10 s where 60 are allowed, and 312 by eight
+isolated instances.
 """
 
 import pytest
@@ -16,12 +16,12 @@
 
 _RATIO, _SLACK, _WINDOW = 0.2, 56.0, 10.0
 _INSTANCES = 8
-# First attempts at each instance in a window: few, so that the slack decides.
+# First attempts at each instance in a window; few, so that the slack dominates.
 _REQUESTS = 3
 
 
 class Fleet:
-    """Eight instances that hear each other, or only their own half."""
+    """Eight instances that hear each other, or a part of each other."""
 
     def __init__(self, monkeypatch):
         self.now = 100.0
@@ -57,7 +57,7 @@
         return Heartbeat(state=state, number=int(self.now * 100))
 
     def retry_count(self):
-        """Return what all instances together send again if each takes what it may."""
+        """Return the retries of all instances together if each uses its full share."""
         taken = 0
         for member in self.members:
             allowance = RetryBudget(_RATIO, _SLACK, _WINDOW)
@@ -69,7 +69,7 @@
 
 
 def _nothing(*_):
-    """Count no bytes."""
+    """Ignore the bytes counted."""
 
 
 @pytest.fixture
--- a/whinrack/edge/tests/test_suspects.py
+++ b/whinrack/edge/tests/test_suspects.py
@@ -1,4 +1,4 @@
-"""What instances tell each other of suspected requests, and what is kept in the store."""
+"""Exchange of suspected requests between instances and with the store."""
 
 import eventlet
 import pytest
@@ -18,7 +18,7 @@
 
 
 class Network:
-    """Hands datagrams on at once, or drops those to some."""
+    """Delivers datagrams at once, or drops those to instances that are cut off."""
 
     def __init__(self):
         self.exchanges = {}
--- a/whinrack/edge/tests/test_traffic.py
+++ b/whinrack/edge/tests/test_traffic.py
@@ -1,4 +1,4 @@
-"""Bytes between instances, counted by message and data hall."""
+"""Accounting of network traffic by message and data hall."""
 
 from whinrack.edge._traffic import Locality, TrafficMeter
 
--- a/whinrack/edge/tests/test_upstream_selection.py
+++ b/whinrack/edge/tests/test_upstream_selection.py
@@ -1,4 +1,4 @@
-"""Who is asked for lists and watches in a large fleet."""
+"""Selection of the upstream for lists and watches in a large fleet."""
 
 import msgspec
 import pytest
@@ -42,7 +42,7 @@
 
 @pytest.fixture
 def peers():
-    """Two strong instances, which watch for the others."""
+    """Two instances with high capacity, which are the relays of the hall."""
     return Peers(state("a", bandwidth=100.0, cores=2.0), state("b", bandwidth=100.0, cores=2.0))
 
 
@@ -143,7 +143,7 @@
 
 
 def fleet(instances, halls=5, **changes):
-    """Return the states of a fleet whose halls are of one size."""
+    """Return the states of a fleet whose halls have equal sizes."""
     return [
         state(f"i{number}", data_hall=f"hall{number % halls}", store_confirmed=True, **changes)
         for number in range(instances)
@@ -151,7 +151,7 @@
 
 
 def upstream_names(states):
-    """Return whom each instance asks, by its name."""
+    """Return the name of the upstream of each instance, by instance name."""
     selectors = {
         own.sender.name: selector_of(own, [other for other in states if other is not own])
         for own in states
@@ -161,11 +161,11 @@
 
 @pytest.mark.parametrize(("instances", "following"), [(24, 2), (87, 3), (195, 5)])
 def test_few_halls_follow_the_store_and_relay_to_the_others(instances, following):
-    """Five following halls of 24 instances made 1,304 calls in 68 s, two of them 718."""
+    """In 68 s, 24 instances made 1,304 calls with five halls following the store, 718 with two."""
     upstream_of = upstream_names(fleet(instances))
     followers = [name for name, upstream in upstream_of.items() if upstream == "store"]
     assert len(followers) == following
-    # Nobody is fed in a circle.
+    # The chain of upstreams of every instance ends at the store.
     for name in upstream_of:
         for _ in range(3):
             name = upstream_of[name].split(":")[0] if upstream_of[name] != "store" else name
@@ -173,17 +173,17 @@
 
 
 def remotely_fed_instance(states):
-    """Return an instance that is fed from another data hall, and whom it asks."""
+    """Return an instance that follows a relay of another data hall, and the name of that relay."""
     halls = {each.sender.name: each.data_hall for each in states}
     for name, upstream in upstream_names(states).items():
         relay = upstream.split(":")[0]
         if upstream != "store" and halls[relay] != halls[name]:
             return next(each for each in states if each.sender.name == name), relay
-    raise AssertionError("nobody is fed from another hall")
+    raise AssertionError("no instance follows a relay of another hall")
 
 
 def test_a_failed_remote_relay_excludes_its_whole_hall():
-    """It may be cut off, and asking one after the other there takes 1.5 s each."""
+    """The hall may be cut off, and trying its instances in turn takes 1.5 s each."""
     states = fleet(24)
     halls = {each.sender.name: each.data_hall for each in states}
     own, first = remotely_fed_instance(states)
