--- a/whinrack/edge/_daemon.py
+++ b/whinrack/edge/_daemon.py
@@ -241,7 +241,7 @@
                 HttpServer(address, handle).start()
         KnowledgeServer(
             self.options.gossip,
-            self.knowledge.shared,
+            self.knowledge.shared_knowledge,
             self.knowledge.relay.handle,
         ).start()
 
--- a/whinrack/edge/_instance_host.py
+++ b/whinrack/edge/_instance_host.py
@@ -79,9 +79,9 @@
         """Return the targets whose records were deleted recently."""
         return self.instance.knowledge.recently_removed()
 
-    def merge_removed_targets(self, gone: list[RemovedTarget]) -> None:
+    def merge_removed_targets(self, removed: list[RemovedTarget]) -> None:
         """Remove the targets that a peer reports as deleted."""
-        self.instance.knowledge.merge_removed(gone)
+        self.instance.knowledge.merge_removed(removed)
 
     def merge_halls(self, statuses: list[HallStatus], peer: str) -> None:
         """Apply a peer's statements on emptied data halls."""
--- a/whinrack/edge/_kind_follower.py
+++ b/whinrack/edge/_kind_follower.py
@@ -163,7 +163,7 @@
                 self._backoff = _INITIAL_BACKOFF
                 self._throttle(started)
             else:
-                self._back_off()
+                self._wait_before_retry()
 
     def _throttle(self, started: float) -> None:
         """Wait up to 0.1 s before the next call to the store, so that changes share it."""
@@ -171,7 +171,7 @@
         if delay > 0.0 and self.upstream_name == _STORE_NAME and self.availability.is_available:
             eventlet.sleep(delay)
 
-    def _back_off(self) -> None:
+    def _wait_before_retry(self) -> None:
         """Wait after a failure, before the next call."""
         eventlet.sleep(self._backoff * (0.5 + random.random()))
         self._backoff = min(_MAX_BACKOFF, 2 * self._backoff)
--- a/whinrack/edge/_knowledge.py
+++ b/whinrack/edge/_knowledge.py
@@ -139,7 +139,7 @@
             self._probe_store,
         ]
 
-    def shared(self) -> SharedKnowledge:
+    def shared_knowledge(self) -> SharedKnowledge:
         """Return the objects that peers may fetch."""
         return SharedKnowledge(self._configuration, tuple(self._targets.values()))
 
@@ -168,13 +168,13 @@
             recent.append(RemovedTarget(name, gone.version))
         return recent
 
-    def merge_removed(self, gone: list[RemovedTarget]) -> None:
+    def merge_removed(self, removed: list[RemovedTarget]) -> None:
         """Remove the targets that a peer reports as deleted, unless a later record is known."""
-        for target in gone:
+        for target in removed:
             known = self._targets.get(target.incarnation)
             if known is not None and known.version <= target.version:
-                ended = StoredObject(known.kind, known.name, target.version, deleted=True)
-                self._on_target_changes((ended,), source="peer")
+                deletion = StoredObject(known.kind, known.name, target.version, deleted=True)
+                self._on_target_changes((deletion,), source="peer")
 
     def handle_store_reachable(self) -> None:
         """Probe the store now, since a peer reaches it after no instance did."""
@@ -332,7 +332,7 @@
         if known is not None and known.version > stored.version:
             # The peer is out of date. Relaying its record would spread the stale state.
             return False
-        self._reconciler.ended.discard(stored.name)
+        self._reconciler.deleted_names.discard(stored.name)
         self._targets[stored.name] = stored
         self._removed.pop(stored.name, None)
         record = self._read_target(stored)
--- a/whinrack/edge/_limit_log.py
+++ b/whinrack/edge/_limit_log.py
@@ -44,14 +44,14 @@
         """Log a change and notify the peers, each subject to its minimum interval."""
         self.metrics.limited_targets.set(len(self.registry.stated_limits.limited_targets()))
         now = steady()
-        is_another_number = NO_LIMIT not in (change.previous_rate, change.rate)
+        is_value_change = NO_LIMIT not in (change.previous_rate, change.rate)
         if (
-            not is_another_number
+            not is_value_change
             or now - self._logged_at.get(change.target, 0.0) >= _LOG_INTERVAL_SECONDS
         ):
             self._log(change, now)
         if now - self._notified_at >= (
-            _NOTIFY_INTERVAL_SECONDS if is_another_number else _START_END_NOTIFY_INTERVAL_SECONDS
+            _NOTIFY_INTERVAL_SECONDS if is_value_change else _START_END_NOTIFY_INTERVAL_SECONDS
         ):
             self._notified_at = now
             self.notify_peers()
--- a/whinrack/edge/_membership.py
+++ b/whinrack/edge/_membership.py
@@ -249,9 +249,9 @@
         now = steady()
         sender = heartbeat.state.sender
         self.clock_check.record_peer_time(sender.name, heartbeat.wall_time, now)
-        without_store = self._is_store_out_of_reach(now)
+        was_out_of_reach = self._is_store_out_of_reach(now)
         is_new = self.table.record_heartbeat(heartbeat, now)
-        if without_store and self.table.peers_with_store(now):
+        if was_out_of_reach and self.table.peers_with_store(now):
             self.host.handle_store_reachable()
         if is_new or heartbeat.requests_states or self._is_isolated(heartbeat, now):
             # Answer at once, so that a peer that has just started knows the fleet.
@@ -292,9 +292,9 @@
 
         A peer whose heartbeat lists other instances knows the fleet and is sent no states.
         """
-        knows_few = heartbeat.requests_states or not heartbeat.ages
-        message = self._build_heartbeat(now, self.table.live_states(now) if knows_few else [])
-        if not knows_few and not self.table.is_in_own_hall(heartbeat.state):
+        lacks_states = heartbeat.requests_states or not heartbeat.ages
+        message = self._build_heartbeat(now, self.table.live_states(now) if lacks_states else [])
+        if not lacks_states and not self.table.is_in_own_hall(heartbeat.state):
             message = self._for_other_hall(message, now)
         self.link.send(message, heartbeat.state.sender.address)
 
--- a/whinrack/edge/_membership_host.py
+++ b/whinrack/edge/_membership_host.py
@@ -34,7 +34,7 @@
         """Return the targets whose records were deleted recently."""
         raise NotImplementedError
 
-    def merge_removed_targets(self, gone: list[RemovedTarget]) -> None:
+    def merge_removed_targets(self, removed: list[RemovedTarget]) -> None:
         """Remove the targets that a peer reports as deleted."""
         raise NotImplementedError
 
--- a/whinrack/edge/_missing_peers.py
+++ b/whinrack/edge/_missing_peers.py
@@ -60,13 +60,13 @@
     @property
     def has_missing(self) -> bool:
         """Whether this instance itself has missing instances, or seeds not heard yet."""
-        return bool(self._current()) or self._has_unheard_seeds(steady())
+        return bool(self._current_missing()) or self._has_unheard_seeds(steady())
 
     def count(self, only_serving: bool) -> int:
         """Return the number of missing instances, of all or of those that served callers."""
-        return sum(instance.serving or not only_serving for instance in self._current())
+        return sum(instance.serving or not only_serving for instance in self._current_missing())
 
-    def _current(self) -> list[_KnownInstance]:
+    def _current_missing(self) -> list[_KnownInstance]:
         """Return the missing instances, refreshed a few times a second."""
         now = steady()
         if now - self._refreshed_at >= _REFRESH_SECONDS:
--- a/whinrack/edge/_rate_sharers.py
+++ b/whinrack/edge/_rate_sharers.py
@@ -51,10 +51,10 @@
     def _compute_members(self, now: float) -> frozenset[str]:
         age = now - self.started_at
         views = self.table.peers_heard_within(now, _REMEMBERED_SECONDS)
-        expects_others = any(seed != self.options.gossip for seed in self.options.seeds)
-        if age < _SETTLE_SECONDS and expects_others:
+        has_seeds = any(seed != self.options.gossip for seed in self.options.seeds)
+        if age < _SETTLE_SECONDS and has_seeds:
             return frozenset()
-        if not views and expects_others and age < _ISOLATED_SECONDS:
+        if not views and has_seeds and age < _ISOLATED_SECONDS:
             return frozenset()
         includes_idle = self.table.is_full_mesh or age < _INCLUDE_IDLE_SECONDS
         names = (
--- a/whinrack/edge/_restore_reconciliation.py
+++ b/whinrack/edge/_restore_reconciliation.py
@@ -29,19 +29,21 @@
     """
 
     def __init__(self):
-        self.ended: set[str] = set()
+        self.deleted_names: set[str] = set()
         self._era: int | None = None
         self._rewrite_deadline = float("-inf")
         self._expiry_deadline = float("-inf")
 
-    def observe_list(self, revision: int, gone: Collection[str], now: float) -> tuple[float, ...]:
+    def observe_list(
+        self, revision: int, deleted: Collection[str], now: float
+    ) -> tuple[float, ...]:
         """Detect a new era from the revision of a list.
 
         Parameters
         ----------
         revision : int
             Revision of the list.
-        gone : collection of str
+        deleted : collection of str
             Names of entries that are known to be deleted.
         now : float
             Steady clock, seconds.
@@ -58,7 +60,7 @@
         self._era = era
         if before is None:
             return ()
-        self.ended = set(gone)
+        self.deleted_names = set(deleted)
         self._rewrite_deadline = now + _REWRITE_SECONDS
         self._expiry_deadline = now + _EXPIRY_SECONDS
         return _REWRITE_SECONDS + _SLACK_SECONDS, _EXPIRY_SECONDS + _SLACK_SECONDS
@@ -78,8 +80,8 @@
             Steady clock, seconds.
         """
         if now >= self._expiry_deadline:
-            self.ended.clear()
-        entries = [stored for stored in listed if stored.name not in self.ended]
+            self.deleted_names.clear()
+        entries = [stored for stored in listed if stored.name not in self.deleted_names]
         if now < self._rewrite_deadline:
             names = {stored.name for stored in listed}
             entries += [
--- a/whinrack/edge/_tokens.py
+++ b/whinrack/edge/_tokens.py
@@ -121,11 +121,13 @@
             self.token_source.handle_reply(reply)
 
     def _handle_token_request(self, request: TokenRequest, address: tuple[str, int]) -> None:
-        asked = (request.budget, request.receiver, request.already_received)
+        arguments = (request.budget, request.receiver, request.already_received)
         if request.to_supplier:
-            total = self.grant_manager.give_as_supplier(*asked, request.need, request.want)
+            total = self.grant_manager.give_as_supplier(*arguments, request.need, request.want)
         else:
-            total = self.grant_manager.give(*asked, request.need, request.want, request.allow_draw)
+            total = self.grant_manager.give(
+                *arguments, request.need, request.want, request.allow_draw
+            )
         reply = TokenReply(
             request_id=request.request_id,
             budget=request.budget,
--- a/whinrack/edge/tests/test_emptied_halls.py
+++ b/whinrack/edge/tests/test_emptied_halls.py
@@ -35,7 +35,7 @@
             Halls(),
             self.registry,
             UpstreamSelector(self.store),
-            StoreAvailability(lambda answers: None),
+            StoreAvailability(lambda is_available: None),
             self.relay,
             self._notify_peers,
             self.invalid.append,
@@ -102,9 +102,9 @@
 
 def test_a_peers_statement_is_applied_and_forwarded_once():
     harness = Harness()
-    words = [HallStatus("z", 4, True), HallStatus("y", 5, False)]
-    harness.knowledge.merge(words, "peer")
-    harness.knowledge.merge(words, "another")
+    statuses = [HallStatus("z", 4, True), HallStatus("y", 5, False)]
+    harness.knowledge.merge(statuses, "peer")
+    harness.knowledge.merge(statuses, "another")
     assert (harness.emptied(), harness.notifications) == ({"z"}, 1)
 
 
--- a/whinrack/edge/tests/test_kind_follower.py
+++ b/whinrack/edge/tests/test_kind_follower.py
@@ -18,7 +18,7 @@
         "k",
         lambda objects, revision: seen.append(("listed", sorted(item.name for item in objects))),
         lambda objects: seen.append(("changed", sorted(item.name for item in objects))),
-        availability or StoreAvailability(lambda answers: None),
+        availability or StoreAvailability(lambda is_available: None),
         watch_seconds=0.1,
         probes_store=probes,
         cache=WatchCache(),
@@ -57,7 +57,7 @@
 
 
 def test_waiters_resume_when_the_store_answers():
-    availability = StoreAvailability(lambda answers: None)
+    availability = StoreAvailability(lambda is_available: None)
     availability.report(False)
     order = []
 
@@ -75,7 +75,7 @@
 
 
 def test_waiting_returns_at_once_while_the_store_answers():
-    availability = StoreAvailability(lambda answers: None)
+    availability = StoreAvailability(lambda is_available: None)
     availability.wait_until_available(60.0)
 
 
@@ -85,7 +85,7 @@
             self.calls += 1
             return Failure(PlatformUnavailable("down"))
 
-    availability = StoreAvailability(lambda answers: None)
+    availability = StoreAvailability(lambda is_available: None)
     prober, waiter = DownStore(), DownStore()
     threads = [
         eventlet.spawn(make_follower(prober, [], True, availability).run),
@@ -107,7 +107,7 @@
             waits.append(wait)
             return super().watch(kinds, since, 0.0)
 
-    availability = StoreAvailability(lambda answers: None)
+    availability = StoreAvailability(lambda is_available: None)
     follower = make_follower(RecordingStore(), [], availability=availability)
     follower.poll()
     follower.poll()
@@ -290,16 +290,16 @@
         self.is_store_preferred = True
 
 
-def selector_after_watching(peer, answers=True):
+def selector_after_watching(peer, is_available=True):
     """Return the selector of a follower that polled the store and then a peer."""
     upstreams, availability = (
         SwitchingSelector(MemoryStore()),
-        StoreAvailability(lambda answers: None),
+        StoreAvailability(lambda is_available: None),
     )
     follower = make_follower(upstreams.store, [], availability=availability)
     follower.upstreams = upstreams
     assert follower.poll()
-    upstreams.peer, availability.is_available = peer, answers
+    upstreams.peer, availability.is_available = peer, is_available
     eventlet.sleep(0.05)
     assert follower.poll()
     return upstreams
@@ -316,4 +316,4 @@
 
 
 def test_a_stale_peer_is_kept_while_the_store_is_unavailable():
-    assert not selector_after_watching(LaggingPeer(2.9), answers=False).is_store_preferred
+    assert not selector_after_watching(LaggingPeer(2.9), is_available=False).is_store_preferred
--- a/whinrack/edge/tests/test_knowledge.py
+++ b/whinrack/edge/tests/test_knowledge.py
@@ -58,7 +58,7 @@
         self.answer = None
         self.current_configuration = CurrentConfiguration(lambda configuration: None)
         self.registry = TargetRegistry()
-        self.availability = StoreAvailability(lambda answers: None)
+        self.availability = StoreAvailability(lambda is_available: None)
         self.knowledge = StoreKnowledge(
             store,
             self.availability,
@@ -129,7 +129,7 @@
 
 def test_knowledge_is_served_unchanged(harness):
     harness.fetch_from_peer(knowledge_of(7, "t1"))
-    server = KnowledgeServer(("127.0.0.1", 0), harness.knowledge.shared)
+    server = KnowledgeServer(("127.0.0.1", 0), harness.knowledge.shared_knowledge)
     server.start()
     fetched = fetch_knowledge(server.address)
     assert fetched.configuration.value == msgspec.Raw(b"7")
@@ -252,7 +252,7 @@
     harness.knowledge._on_target_changes((stored("target", "t1", "leaving", version=5),))
     harness.availability.report(False)
     harness.fetch_from_peer(knowledge_of(7, "t1"))
-    (passed_on,) = harness.knowledge.shared().targets
+    (passed_on,) = harness.knowledge.shared_knowledge().targets
     assert (passed_on.version, bytes(passed_on.value)) == (5, b'"leaving"')
 
 
@@ -314,15 +314,15 @@
     apply_list(harness, 1, "back")
     apply_list(harness, 1)
     apply_list(harness, 2, "back")
-    again = stored("target", "back", "ready", compose_revision(2, 10))
-    harness.knowledge._on_target_changes((again,))
+    rewritten = stored("target", "back", "ready", compose_revision(2, 10))
+    harness.knowledge._on_target_changes((rewritten,))
     assert harness.targets() == {"back"}
 
 
 def test_a_peer_in_an_earlier_era_changes_nothing(harness):
     apply_list(harness, 2, "t")
-    late = stored("target", "t", "leaving", compose_revision(1, 99))
-    harness.knowledge._on_target_changes((late,), "peer")
+    stale = stored("target", "t", "leaving", compose_revision(1, 99))
+    harness.knowledge._on_target_changes((stale,), "peer")
     harness.knowledge.merge_removed([RemovedTarget("t", compose_revision(1, 99))])
     assert harness.targets() == {"t"}
     assert not harness.registry.leaving_records()
--- a/whinrack/edge/tests/test_membership.py
+++ b/whinrack/edge/tests/test_membership.py
@@ -48,7 +48,7 @@
     def recently_removed_targets(self):
         return []
 
-    def merge_removed_targets(self, gone):
+    def merge_removed_targets(self, removed):
         pass
 
     def suspects_checksum(self):
--- a/whinrack/edge/tests/test_shared_retries.py
+++ b/whinrack/edge/tests/test_shared_retries.py
@@ -60,10 +60,10 @@
         """Return the retries of all instances together if each uses its full share."""
         taken = 0
         for member in self.members:
-            allowance = RetryBudget(_RATIO, _SLACK, _WINDOW)
+            budget = RetryBudget(_RATIO, _SLACK, _WINDOW)
             for _ in range(_REQUESTS):
-                allowance.record_request(self.now)
-            while allowance.try_take(self.now, member.count_sharing_instances()):
+                budget.record_request(self.now)
+            while budget.try_take(self.now, member.count_sharing_instances()):
                 taken += 1
         return taken
 
@@ -84,15 +84,15 @@
 
 
 @pytest.mark.parametrize("seconds", [2.0, 20.0, 90.0])
-def test_two_halves_stay_within_the_fleets_allowance(fleet, seconds):
+def test_two_halves_stay_within_the_fleets_retry_budget(fleet, seconds):
     fleet.advance(seconds, is_same_half)
     assert fleet.retry_count() <= _RATIO * _REQUESTS * _INSTANCES + _SLACK
 
 
-def test_isolated_instances_stay_within_the_fleets_allowance(fleet):
+def test_isolated_instances_stay_within_the_fleets_retry_budget(fleet):
     fleet.advance(20.0, lambda sender, receiver: False)
     assert fleet.retry_count() <= _RATIO * _REQUESTS * _INSTANCES + _SLACK
 
 
-def test_a_connected_fleet_can_use_most_of_the_allowance(fleet):
+def test_a_connected_fleet_can_use_most_of_the_retry_budget(fleet):
     assert fleet.retry_count() >= 0.55 * _SLACK
--- a/whinrack/edge/tests/test_suspects.py
+++ b/whinrack/edge/tests/test_suspects.py
@@ -41,12 +41,12 @@
 
 def peer_table(name):
     table = PeerTable(name, silent_seconds=60.0, forget_seconds=90.0)
-    for other in NAMES:
+    for peer in NAMES:
         state = PeerState(
-            incarnation=f"{other}.1",
+            incarnation=f"{peer}.1",
             sequence=1,
-            sender=PeerAddress(other, other, 1),
-            callers=f"{other}:80",
+            sender=PeerAddress(peer, peer, 1),
+            callers=f"{peer}:80",
             data_hall="h",
             ready=True,
             store_answers=True,
@@ -69,7 +69,7 @@
         network.exchanges[name] = SuspectExchange(
             name,
             store,
-            StoreAvailability(lambda answers: None),
+            StoreAvailability(lambda is_available: None),
             network.link(name),
             peer_table(name),
             lambda: 1_000_000.0,
@@ -131,8 +131,8 @@
             target_ended(network, "m0", target, RequestSignature(f"f{number}", "w", "r"))
     network.cut_off, network.sent[:] = set(), []
     network.exchanges["m0"].compare(0, ("m1", 1))
-    told = network.exchanges["m1"].quarantine.table.suspect_cases()
-    assert len(told) == 200
+    cases = network.exchanges["m1"].quarantine.table.suspect_cases()
+    assert len(cases) == 200
 
 
 @pytest.fixture
--- a/whinrack/edge/tests/test_upstream_selection.py
+++ b/whinrack/edge/tests/test_upstream_selection.py
@@ -37,7 +37,7 @@
         self.states = list(states)
 
     def live_peers(self, now):
-        return [PeerView(each, now) for each in self.states]
+        return [PeerView(item, now) for item in self.states]
 
 
 @pytest.fixture
@@ -49,13 +49,13 @@
 def make_selector(peers):
     own = state("own", bandwidth=5.0, cores=0.5)
     return FleetUpstreamSelector(
-        MemoryStore(), StoreAvailability(lambda answers: None), lambda: own, peers
+        MemoryStore(), StoreAvailability(lambda is_available: None), lambda: own, peers
     )
 
 
 def lose_store(peers):
-    for number, each in enumerate(peers.states):
-        fields = {name: getattr(each, name) for name in each.__struct_fields__}
+    for number, item in enumerate(peers.states):
+        fields = {name: getattr(item, name) for name in item.__struct_fields__}
         peers.states[number] = PeerState(**(fields | {"store_answers": False}))
 
 
@@ -81,7 +81,7 @@
     peers.states = [state("a", bandwidth=100.0, cores=2.0, store_answers=False)]
     own_lost = state("own", store_answers=False)
     selector = FleetUpstreamSelector(
-        MemoryStore(), StoreAvailability(lambda answers: None), lambda: own_lost, peers
+        MemoryStore(), StoreAvailability(lambda is_available: None), lambda: own_lost, peers
     )
     upstream = selector.select()
     selector.report_stale(upstream)
@@ -91,7 +91,7 @@
 def selector_of(own, others, **options):
     peers = Peers(*others)
     return FleetUpstreamSelector(
-        MemoryStore(), StoreAvailability(lambda answers: None), lambda: own, peers, **options
+        MemoryStore(), StoreAvailability(lambda is_available: None), lambda: own, peers, **options
     )
 
 
@@ -111,7 +111,7 @@
         selector_of(high_capacity_state("a"), [high_capacity_state("b")]),
         selector_of(high_capacity_state("b"), [high_capacity_state("a")]),
     ]
-    (second,) = [each for each in selectors if each.select().name != "store"]
+    (second,) = [item for item in selectors if item.select().name != "store"]
     second.report_failure(second.select())
     assert second.select().name == "store"
 
@@ -153,10 +153,10 @@
 def upstream_names(states):
     """Return the name of the upstream of each instance, by instance name."""
     selectors = {
-        own.sender.name: selector_of(own, [other for other in states if other is not own])
+        own.sender.name: selector_of(own, [peer for peer in states if peer is not own])
         for own in states
     }
-    return {name: each.select().name for name, each in selectors.items()}
+    return {name: item.select().name for name, item in selectors.items()}
 
 
 @pytest.mark.parametrize(("instances", "following"), [(24, 2), (87, 3), (195, 5)])
@@ -172,22 +172,22 @@
         assert upstream_of[name] == "store"
 
 
-def remotely_fed_instance(states):
+def instance_with_remote_relay(states):
     """Return an instance that follows a relay of another data hall, and the name of that relay."""
-    halls = {each.sender.name: each.data_hall for each in states}
+    halls = {item.sender.name: item.data_hall for item in states}
     for name, upstream in upstream_names(states).items():
         relay = upstream.split(":")[0]
         if upstream != "store" and halls[relay] != halls[name]:
-            return next(each for each in states if each.sender.name == name), relay
+            return next(item for item in states if item.sender.name == name), relay
     raise AssertionError("no instance follows a relay of another hall")
 
 
 def test_a_failed_remote_relay_excludes_its_whole_hall():
     """The hall may be cut off, and trying its instances in turn takes 1.5 s each."""
     states = fleet(24)
-    halls = {each.sender.name: each.data_hall for each in states}
-    own, first = remotely_fed_instance(states)
-    selector = selector_of(own, [other for other in states if other is not own])
+    halls = {item.sender.name: item.data_hall for item in states}
+    own, first = instance_with_remote_relay(states)
+    selector = selector_of(own, [peer for peer in states if peer is not own])
     selector.report_failure(selector.select())
     second = selector.select()
     assert halls[second.name.split(":")[0]] not in (own.data_hall, halls[first])
@@ -197,15 +197,15 @@
 
 def test_a_hall_that_cannot_reach_the_store_relays_to_no_other_hall():
     states = fleet(24)
-    _, relay = remotely_fed_instance(states)
-    hall = next(each.data_hall for each in states if each.sender.name == relay)
+    _, relay = instance_with_remote_relay(states)
+    hall = next(item.data_hall for item in states if item.sender.name == relay)
     unreachable = {"store_answers": False, "store_confirmed": False}
     states = [
-        msgspec.structs.replace(each, **unreachable) if each.data_hall == hall else each
-        for each in states
+        msgspec.structs.replace(item, **unreachable) if item.data_hall == hall else item
+        for item in states
     ]
-    _, relay = remotely_fed_instance(states)
-    assert all(each.data_hall != hall for each in states if each.sender.name == relay)
+    _, relay = instance_with_remote_relay(states)
+    assert all(item.data_hall != hall for item in states if item.sender.name == relay)
 
 
 def test_a_preferred_store_is_followed_while_it_is_available(peers):
