--- a/whinrack/edge/_restore_reconciliation.py
+++ b/whinrack/edge/_restore_reconciliation.py
@@ -23,7 +23,7 @@
 
     Attributes
     ----------
-    ended : set of str
+    deleted_names : set of str
         Names that were deleted before the restore. Entries with these names are ignored for
         `_EXPIRY_SECONDS`, unless they are written again.
     """
--- a/whinrack/edge/tests/test_shared_retries.py
+++ b/whinrack/edge/tests/test_shared_retries.py
@@ -38,8 +38,10 @@
             ready=None,
             gossip=(f"10.0.0.{number}", 7340),
         )
-        directory = CurrentConfiguration(lambda configuration: None)
-        return Membership(options, f"m{number}.1", directory, TargetRegistry(), Host(), _nothing)
+        configuration = CurrentConfiguration(lambda configuration: None)
+        return Membership(
+            options, f"m{number}.1", configuration, TargetRegistry(), Host(), _nothing
+        )
 
     def advance(self, seconds, can_reach=lambda sender, receiver: True):
         end = self.now + seconds
