--- a/whinrack/edge/__init__.py
+++ b/whinrack/edge/__init__.py
@@ -1,4 +1,4 @@
-"""The daemon that serves declared routes."""
+"""Edge daemon: serves declared routes to callers and exchanges state with its peers."""
 
 from whinrack.edge._daemon import EdgeDaemon
 from whinrack.edge._endpoints import AuxiliaryEndpoints
@@ -6,10 +6,10 @@
 from whinrack.edge._readers import ConfigurationReader, HallReader, TargetReader
 
 __all__ = [
+    "AuxiliaryEndpoints",
     "ConfigurationReader",
     "EdgeDaemon",
     "EdgeOptions",
     "HallReader",
-    "AuxiliaryEndpoints",
     "TargetReader",
 ]
--- a/whinrack/edge/_instance_host.py
+++ b/whinrack/edge/_instance_host.py
@@ -1,4 +1,4 @@
-"""What the membership asks of this instance, and what peers tell it, led to whom it concerns."""
+"""Connects the membership to the other parts of an instance."""
 
 from typing import Protocol
 
@@ -6,11 +6,11 @@
 from whinrack.clock import steady
 from whinrack.dispatch import Dispatcher, HallStatus
 from whinrack.edge._emptied_halls import HallKnowledge
-from whinrack.edge._entry_selection import serves_callers
+from whinrack.edge._entry_selection import is_serving_callers
 from whinrack.edge._knowledge import StoreKnowledge
 from whinrack.edge._membership_host import MembershipHost
 from whinrack.edge._options import EdgeOptions, HostPort
-from whinrack.edge._store_availability import StoreContact
+from whinrack.edge._store_availability import StoreAvailability
 from whinrack.edge._suspects import SuspectExchange
 from whinrack.edge._tokens import TokenExchange
 from whinrack.gossip import Message, RemovedTarget, SuspectCases
@@ -18,17 +18,17 @@
 
 __all__ = ["HostedInstance", "InstanceHost"]
 
-# The answer to a watch may be so late, beyond the time for which the watch is held.
-_WATCH_MARGIN_SECONDS = 1.0
+# Time allowed for the answer to a watch, beyond the time for which the watch is held.
+_WATCH_REPLY_MARGIN_SECONDS = 1.0
 
 
 class HostedInstance(Protocol):
-    """The parts of an instance that the membership asks and tells."""
+    """The parts of an instance that `InstanceHost` uses."""
 
     options: EdgeOptions
     dispatcher: Dispatcher
-    keeper: GrantManager
-    contact: StoreContact
+    grant_manager: GrantManager
+    availability: StoreAvailability
     store: MeteredStore
     knowledge: StoreKnowledge
     halls: HallKnowledge
@@ -37,7 +37,7 @@
 
 
 class InstanceHost(MembershipHost):
-    """Speaks for one instance.
+    """Implements `MembershipHost` for one instance.
 
     Parameters
     ----------
@@ -46,63 +46,66 @@
 
     def __init__(self, instance: HostedInstance):
         self.instance = instance
-        self._serves = False
+        self._is_serving = False
 
-    def open_requests(self) -> int:
-        """Return the requests in progress here."""
+    def count_open_requests(self) -> int:
+        """Return the number of requests in progress."""
         return self.instance.dispatcher.requests_in_progress
 
-    def serves_callers(self, now: float) -> bool:
-        """Whether callers' requests come here; the platform's probes are fewer."""
+    def is_serving_callers(self, now: float) -> bool:
+        """Return whether callers send requests here; the platform's probes alone do not count."""
         rate = self.instance.dispatcher.arrivals.rate(now)
-        self._serves = serves_callers(rate, self._serves)
-        return self._serves
-
-    def holds_tokens(self) -> bool:
-        """Whether there are unspent tokens here."""
-        return self.instance.keeper.has_spendable_tokens
-
-    def reaches_store(self) -> bool:
-        """Whether the store can be reached from here."""
-        return self.instance.contact.answers and self.instance.keeper.is_store_reachable
-
-    def confirms_store(self) -> bool:
-        """Whether the store has answered a call from here lately."""
+        self._is_serving = is_serving_callers(rate, self._is_serving)
+        return self._is_serving
+
+    def has_spendable_tokens(self) -> bool:
+        """Return whether this instance holds unspent tokens."""
+        return self.instance.grant_manager.has_spendable_tokens
+
+    def is_store_reachable(self) -> bool:
+        """Return whether the store can be reached."""
+        return (
+            self.instance.availability.is_available
+            and self.instance.grant_manager.is_store_reachable
+        )
+
+    def has_recent_store_answer(self) -> bool:
+        """Return whether the store has answered a call recently."""
         silent = steady() - self.instance.store.last_answer_at
-        longest = self.instance.options.watch_seconds + _WATCH_MARGIN_SECONDS
-        return self.reaches_store() and silent < longest
+        longest = self.instance.options.watch_seconds + _WATCH_REPLY_MARGIN_SECONDS
+        return self.is_store_reachable() and silent < longest
 
-    def gone_targets(self) -> list[RemovedTarget]:
-        """Return the targets whose records have gone lately."""
-        return self.instance.knowledge.gone_lately()
+    def recently_removed_targets(self) -> list[RemovedTarget]:
+        """Return the targets whose records were deleted recently."""
+        return self.instance.knowledge.recently_removed()
 
-    def learn_gone_targets(self, gone: list[RemovedTarget]) -> None:
-        """Take in the targets that a peer knows to be gone."""
-        self.instance.knowledge.learn_gone(gone)
+    def merge_removed_targets(self, removed: list[RemovedTarget]) -> None:
+        """Remove the targets that a peer reports as deleted."""
+        self.instance.knowledge.merge_removed(removed)
 
-    def learn_halls(self, words: list[HallStatus], peer: str) -> None:
-        """Take in what a peer knows of emptied data halls."""
-        self.instance.halls.learn(words, peer)
+    def merge_halls(self, statuses: list[HallStatus], peer: str) -> None:
+        """Apply a peer's statements on emptied data halls."""
+        self.instance.halls.merge(statuses, peer)
 
-    def hear_of_configuration(self, peer: HostPort) -> None:
-        """Catch up with a peer that has a newer configuration."""
-        self.instance.knowledge.suspect_configuration(peer)
+    def handle_newer_configuration(self, peer: HostPort) -> None:
+        """Fetch the configuration from a peer that has a newer one."""
+        self.instance.knowledge.catch_up(peer)
 
-    def hear_of_store(self) -> None:
-        """Ask a lost store again, since a peer hears from it."""
-        self.instance.knowledge.hear_of_store()
+    def handle_store_reachable(self) -> None:
+        """Probe the store again, since a peer reaches it."""
+        self.instance.knowledge.handle_store_reachable()
 
     def receive(self, message: Message, address: HostPort) -> None:
-        """Take in a peer's message about suspected requests, or about tokens."""
+        """Dispatch a peer's message on suspected requests or on tokens."""
         if isinstance(message, SuspectCases):
             self.instance.suspects.receive(message, address)
         else:
             self.instance.tokens.receive(message, address)
 
     def suspects_checksum(self) -> int:
-        """Return the checksum of the requests that are suspected of ending targets."""
+        """Return the checksum of the requests that are suspected of crashing targets."""
         return self.instance.suspects.checksum()
 
     def compare_suspects(self, checksum: int, peer: HostPort) -> None:
-        """Catch up with a peer that suspects other requests."""
+        """Exchange suspected requests with a peer whose checksum differs."""
         self.instance.suspects.compare(checksum, peer)
--- a/whinrack/edge/_kind_follower.py
+++ b/whinrack/edge/_kind_follower.py
@@ -1,4 +1,4 @@
-"""Follows one kind of object in the store: a list, then watches, then lists again."""
+"""Following of one kind of object: a list, then watches, and a new list after a gap."""
 
 import random
 from collections.abc import Callable
@@ -9,8 +9,8 @@
 
 from whinrack.clock import steady
 from whinrack.edge._options import HostPort
-from whinrack.edge._relay import KindRelay
-from whinrack.edge._store_availability import StoreContact
+from whinrack.edge._relay import WatchCache
+from whinrack.edge._store_availability import StoreAvailability
 from whinrack.exceptions import PlatformFailure, PlatformUnavailable, ReplyLost
 from whinrack.observability import Event, log_event
 from whinrack.store import (
@@ -23,43 +23,43 @@
 
 __all__ = [
     "PROBE_SECONDS",
-    "FollowedSource",
     "KindFollower",
-    "SourcePlan",
+    "Upstream",
+    "UpstreamSelector",
 ]
 
-# The store, where logs name who answered.
+# Name of the store as an upstream in logs.
 _STORE_NAME = "store"
-_FIRST_PAUSE = 0.1
-_LONGEST_PAUSE = 0.3
-# A lost store is asked by watches that are held for so long.
+_INITIAL_BACKOFF = 0.1
+_MAX_BACKOFF = 0.3
+# How long a watch that probes an unavailable store is held.
 PROBE_SECONDS = 0.05
-# A watch at a peer: short, since the peer may fall silent.
-_FED_WATCH_SECONDS = 1.0
-# What a peer passes on is at most as old as the hold of its own watch, and this much: 1.7 s
-# until it knows by itself that the store doesn't answer, and the heartbeat that tells so. What is
-# older was not heard from the store, and the peer doesn't know.
-_AGE_MARGIN_SECONDS = 2.0
-# What a sound feeder passes on is at most so old: the holds of its own watch and of one more
-# between it and the store, and 0.6 s for late answers. What is older tells that it hears nothing.
-_SOUND_FEED_SECONDS = 2.6
-# Watches that are held for longer are older by as much.
-_USUAL_WATCH_SECONDS = 1.0
-# Seconds between the starts of two watches of the store at least: changes that come in quick
+# How long a watch at a peer is held; short, since the peer may fall silent.
+_PEER_WATCH_SECONDS = 1.0
+# Data of a relay is at most as old as its own watch is held, plus this margin: 1.7 s until it
+# notices that the store does not answer, and the heartbeat that reports it. Older data means that
+# the relay has lost the store without noticing.
+_STALENESS_MARGIN_SECONDS = 2.0
+# Maximum age of the data of a working relay: the duration of its own watch and of one more between
+# it and the store, and 0.6 s for late answers. Older data means that the relay receives nothing.
+_MAX_HEALTHY_AGE_SECONDS = 2.6
+# The limits above are for watches of this length; longer watches add to them.
+_DEFAULT_WATCH_SECONDS = 1.0
+# Minimum interval between the starts of two watches of the store, so that changes in quick
 # succession share a call.
-_SHORTEST_INTERVAL = 0.1
-# A task that doesn't probe tries by itself after so long.
-_LONGEST_WAIT = 2.0
+_MIN_WATCH_INTERVAL = 0.1
+# A follower that does not probe retries after this time even if nothing has been reported.
+_MAX_AVAILABILITY_WAIT = 2.0
 
 
-class FollowedSource(msgspec.Struct, frozen=True):
-    """Where the next list or watch goes.
+class Upstream(msgspec.Struct, frozen=True):
+    """Where a list or watch is requested from.
 
     Attributes
     ----------
     store : ObjectStore
     address : HostPort or None
-        Of the peer that passes on what it follows, None for the store itself.
+        Address of the relaying peer, None for the store itself.
     """
 
     store: ObjectStore
@@ -67,12 +67,12 @@
 
     @property
     def name(self) -> str:
-        """Who answers, for logs."""
+        """Name of the upstream in logs."""
         return _STORE_NAME if self.address is None else "{}:{}".format(*self.address)
 
 
-class SourcePlan:
-    """Says whom to ask for lists and watches; this one always says the store.
+class UpstreamSelector:
+    """Selects the upstream for lists and watches; this base class always selects the store.
 
     Parameters
     ----------
@@ -82,195 +82,206 @@
     def __init__(self, store: ObjectStore):
         self.store = store
 
-    def settle(self) -> None:
-        """Wait at the start until it is known whom to ask."""
+    def wait_for_peers(self) -> None:
+        """Wait at the start until the peers are known."""
 
-    def store_may_answer(self) -> bool:
-        """Whether a store that is lost from here is worth a call."""
+    def is_store_likely_available(self) -> bool:
+        """Return whether an unavailable store is worth a probe."""
         return True
 
-    def source(self) -> FollowedSource:
-        """Return whom to ask next."""
-        return FollowedSource(self.store)
+    def select(self) -> Upstream:
+        """Return the upstream for the next call."""
+        return Upstream(self.store)
 
-    def failed(self, source: FollowedSource) -> None:
-        """Learn that a peer didn't answer."""
+    def report_failure(self, upstream: Upstream) -> None:
+        """Report that a peer did not answer."""
 
-    def behind(self, source: FollowedSource) -> None:
-        """Learn that what a peer passes on was confirmed by the store long ago."""
+    def report_stale(self, upstream: Upstream) -> None:
+        """Report that the data of a peer was confirmed by the store too long ago."""
 
-    def follow_store(self) -> None:
-        """Learn that the store told this instance more lately than its feeder."""
+    def prefer_store(self) -> None:
+        """Report that the store has answered this instance more recently than its upstream."""
 
 
 class KindFollower:
-    """Keeps up with a kind of object, through outages and lost history.
+    """Follows one kind of object through outages and gaps in its history.
 
     Parameters
     ----------
-    plan : SourcePlan
+    upstreams : UpstreamSelector
     kind : str
-    listed : callable
-        Called with all objects after each list, and its revision.
-    changed : callable
-        Called with the objects of each watch that had some.
-    contact : StoreContact
-        Told the outcome of every call to the store.
+    on_list : callable
+        Called with all objects and the revision after each list.
+    on_change : callable
+        Called with the changed objects of each watch that returned some.
+    availability : StoreAvailability
+        Receives the outcome of every call to the store.
     watch_seconds : float
-        How long one watch is held.
-    probes : bool
-        Go on calling while the store is away, for all who wait for it.
-    relay : KindRelay
-        Told what was followed.
-    fed_watch_seconds : float, optional
-        How long a watch at a peer is held at most.
+        How long a watch is held.
+    probes_store : bool
+        Whether to keep calling an unavailable store, on behalf of all waiting tasks.
+    cache : WatchCache
+        Receives the followed objects.
+    peer_watch_seconds : float, optional
+        Longest time for which a watch at a peer is held.
     """
 
     def __init__(
         self,
-        plan: SourcePlan,
+        upstreams: UpstreamSelector,
         kind: str,
-        listed: Callable[[tuple[StoredObject, ...], int], None],
-        changed: Callable[[tuple[StoredObject, ...]], None],
-        contact: StoreContact,
+        on_list: Callable[[tuple[StoredObject, ...], int], None],
+        on_change: Callable[[tuple[StoredObject, ...]], None],
+        availability: StoreAvailability,
         watch_seconds: float,
-        probes: bool,
-        relay: KindRelay,
-        fed_watch_seconds: float = _FED_WATCH_SECONDS,
+        probes_store: bool,
+        cache: WatchCache,
+        peer_watch_seconds: float = _PEER_WATCH_SECONDS,
     ):
-        self.fed_watch_seconds = fed_watch_seconds
-        self.plan = plan
+        self.peer_watch_seconds = peer_watch_seconds
+        self.upstreams = upstreams
         self.kind = kind
-        self.listed = listed
-        self.changed = changed
-        self.contact = contact
+        self.on_list = on_list
+        self.on_change = on_change
+        self.availability = availability
         self.watch_seconds = watch_seconds
-        self.probes = probes
-        self.relay = relay
+        self.probes_store = probes_store
+        self.cache = cache
         self.revision: int | None = None
-        self.listed_once = False
-        self.source = "nobody"
-        self._pause = _FIRST_PAUSE
-        self._refused_revision: int | None = None
-        self._store_heard_at = float("-inf")
+        self.has_listed = False
+        self.upstream_name = "nobody"
+        self._backoff = _INITIAL_BACKOFF
+        self._rejected_revision: int | None = None
+        self._store_answered_at = float("-inf")
 
     def run(self) -> None:
-        """Follow for ever."""
-        self.plan.settle()
+        """Follow until the process ends."""
+        self.upstreams.wait_for_peers()
         while True:
-            began = steady()
-            if self.step():
-                self._pause = _FIRST_PAUSE
-                self._space_calls(began)
+            started = steady()
+            if self.poll():
+                self._backoff = _INITIAL_BACKOFF
+                self._throttle(started)
             else:
-                self._rest()
-
-    def _space_calls(self, began: float) -> None:
-        """Let changes gather before the store is asked again, 0.1 s at most."""
-        rest = began + _SHORTEST_INTERVAL - steady()
-        if rest > 0.0 and self.source == _STORE_NAME and self.contact.answers:
-            eventlet.sleep(rest)
-
-    def _rest(self) -> None:
-        """Wait before the next call after a failure."""
-        eventlet.sleep(self._pause * (0.5 + random.random()))
-        self._pause = min(_LONGEST_PAUSE, 2 * self._pause)
-        if not self.probes and self.plan.source().address is None:
-            self.contact.wait(_LONGEST_WAIT)
-
-    def step(self) -> bool:
-        """Make one call to the store, or to a peer that passes it on; False if it failed."""
-        source = self.plan.source()
-        outcome = self._ask(source, self._patience(source))
-        if source.address is None:
+                self._wait_before_retry()
+
+    def _throttle(self, started: float) -> None:
+        """Wait up to 0.1 s before the next call to the store, so that changes share it."""
+        delay = started + _MIN_WATCH_INTERVAL - steady()
+        if delay > 0.0 and self.upstream_name == _STORE_NAME and self.availability.is_available:
+            eventlet.sleep(delay)
+
+    def _wait_before_retry(self) -> None:
+        """Wait after a failure, before the next call."""
+        eventlet.sleep(self._backoff * (0.5 + random.random()))
+        self._backoff = min(_MAX_BACKOFF, 2 * self._backoff)
+        if not self.probes_store and self.upstreams.select().address is None:
+            self.availability.wait_until_available(_MAX_AVAILABILITY_WAIT)
+
+    def poll(self) -> bool:
+        """Make one call to the store or to a relay.
+
+        Returns
+        -------
+        bool
+            False if the call failed.
+        """
+        upstream = self.upstreams.select()
+        outcome = self._fetch(upstream, self._watch_duration(upstream))
+        if upstream.address is None:
             if _is_lost_reply(outcome):
-                # Only the connection may be gone, and the next call opens a new one. Without
-                # it one silent connection at each watcher made 87 instances blind for 10 s.
-                outcome = self._ask(source, PROBE_SECONDS)
-            self.contact.report(isinstance(outcome, Success))
+                # Possibly only the connection is broken, and a second call opens a new one.
+                # Without the retry, one silent connection at each relay left 87 instances without
+                # updates for 10 s.
+                outcome = self._fetch(upstream, PROBE_SECONDS)
+            self.availability.report(isinstance(outcome, Success))
             if isinstance(outcome, Success):
-                self._store_heard_at = steady()
+                self._store_answered_at = steady()
         elif isinstance(outcome, Failure):
-            self.plan.failed(source)
+            self.upstreams.report_failure(upstream)
         if isinstance(outcome, Failure):
             return False
-        self._note_source(source)
+        self._record_upstream(upstream)
         return True
 
-    def _ask(self, source: FollowedSource, patience: float) -> Result:
-        """List, or watch for some seconds."""
+    def _fetch(self, upstream: Upstream, watch_seconds: float) -> Result:
+        """Request a list if none is known, else watch for some seconds."""
         if self.revision is None:
-            listed = source.store.list([self.kind])
-            return listed.bind(lambda snapshot: self._take_list(source, snapshot))
-        result = source.store.watch([self.kind], self.revision, patience)
-        return result.map(lambda batch: self._take_batch(source, batch))
-
-    def _patience(self, source: FollowedSource) -> float:
-        """Return the seconds for which a watch is held."""
-        if source.address is not None:
-            return min(self.fed_watch_seconds, self.watch_seconds)
-        # A lost store is probed: the answer has to come at once, changes or not.
-        return self.watch_seconds if self.contact.answers else PROBE_SECONDS
-
-    def _note_source(self, source: FollowedSource) -> None:
-        if source.name != self.source:
-            log_event(Event.FEED_CHANGED, kind=self.kind, before=self.source, now=source.name)
-            self.source = source.name
-
-    def _take_list(
-        self, source: FollowedSource, snapshot: Snapshot
-    ) -> Result[None, PlatformFailure]:
-        if self.relay.revision is not None and snapshot.revision < self.relay.revision:
-            self._log_refused(source, snapshot.revision)
-            return Failure(PlatformUnavailable("the list is behind what was followed here"))
-        self._refused_revision = None
-        self.relay.confirmed(snapshot.age)
-        self.listed(snapshot.objects, snapshot.revision)
-        self.relay.listed(snapshot.revision, snapshot.objects)
+            listed = upstream.store.list([self.kind])
+            return listed.bind(lambda snapshot: self._apply_list(upstream, snapshot))
+        result = upstream.store.watch([self.kind], self.revision, watch_seconds)
+        return result.map(lambda batch: self._apply_batch(upstream, batch))
+
+    def _watch_duration(self, upstream: Upstream) -> float:
+        """Return how long the next watch is held, in seconds."""
+        if upstream.address is not None:
+            return min(self.peer_watch_seconds, self.watch_seconds)
+        # A probe of an unavailable store must be answered at once, with or without changes.
+        return self.watch_seconds if self.availability.is_available else PROBE_SECONDS
+
+    def _record_upstream(self, upstream: Upstream) -> None:
+        if upstream.name != self.upstream_name:
+            log_event(
+                Event.FEED_CHANGED, kind=self.kind, before=self.upstream_name, now=upstream.name
+            )
+            self.upstream_name = upstream.name
+
+    def _apply_list(self, upstream: Upstream, snapshot: Snapshot) -> Result[None, PlatformFailure]:
+        if self.cache.revision is not None and snapshot.revision < self.cache.revision:
+            self._log_rejected_list(upstream, snapshot.revision)
+            return Failure(PlatformUnavailable("the list is older than the cached revision"))
+        self._rejected_revision = None
+        self.cache.confirm(snapshot.age)
+        self.on_list(snapshot.objects, snapshot.revision)
+        self.cache.replace(snapshot.revision, snapshot.objects)
         self.revision = snapshot.revision
-        self.listed_once = True
+        self.has_listed = True
         return Success(None)
 
-    def _log_refused(self, source: FollowedSource, revision: int) -> None:
-        """Tell of a list that is not taken, once for each revision."""
-        if revision != self._refused_revision:
-            self._refused_revision = revision
+    def _log_rejected_list(self, upstream: Upstream, revision: int) -> None:
+        """Log a rejected list, once for each revision."""
+        if revision != self._rejected_revision:
+            self._rejected_revision = revision
             log_event(
                 Event.LIST_REFUSED,
                 kind=self.kind,
-                source=source.name,
+                source=upstream.name,
                 revision=format_revision(revision),
-                followed=format_revision(self.relay.revision),
+                followed=format_revision(self.cache.revision),
             )
 
-    def _take_batch(self, source: FollowedSource, batch: WatchBatch) -> None:
-        if self._knows_better(batch.age):
-            self.plan.follow_store()
-        if batch.age > self.watch_seconds + _AGE_MARGIN_SECONDS + self._longer_holds:
-            self.plan.behind(source)
+    def _apply_batch(self, upstream: Upstream, batch: WatchBatch) -> None:
+        if self._is_fresher_than_upstream(batch.age):
+            self.upstreams.prefer_store()
+        if batch.age > self.watch_seconds + _STALENESS_MARGIN_SECONDS + self._extra_watch_seconds:
+            self.upstreams.report_stale(upstream)
         if batch.gap:
             self.revision = None
             return
-        self.relay.confirmed(batch.age)
+        self.cache.confirm(batch.age)
         if batch.objects:
-            self.changed(batch.objects)
+            self.on_change(batch.objects)
         self.revision = max(self.revision, batch.revision)
-        self.relay.changed(self.revision, batch.objects)
+        self.cache.apply(self.revision, batch.objects)
 
     @property
-    def _longer_holds(self) -> float:
-        """Seconds for which a watch is held beyond the usual."""
-        return max(0.0, self.watch_seconds - _USUAL_WATCH_SECONDS)
+    def _extra_watch_seconds(self) -> float:
+        """Seconds for which a watch is held beyond the default."""
+        return max(0.0, self.watch_seconds - _DEFAULT_WATCH_SECONDS)
 
-    def _knows_better(self, age: float) -> bool:
-        """Whether the store, in reach as far as is known, was heard here after the feeder heard it.
+    def _is_fresher_than_upstream(self, age: float) -> bool:
+        """Return whether the store answered this instance later than its stale upstream.
 
-        Without it one that restarted while all others were cut off followed these, and
-        answered by an old configuration for 5 s though the store was in its reach.
+        False while the store is unavailable. Without this check, an instance that restarted while
+        all others were cut off from the store followed them and used an old configuration for 5 s
+        although it could reach the store itself.
         """
-        if age <= _SOUND_FEED_SECONDS + 2 * self._longer_holds or not self.contact.answers:
+        if (
+            age <= _MAX_HEALTHY_AGE_SECONDS + 2 * self._extra_watch_seconds
+            or not self.availability.is_available
+        ):
             return False
-        return steady() - age < self._store_heard_at
+        return steady() - age < self._store_answered_at
 
 
 def _is_lost_reply(outcome: Result) -> bool:
--- a/whinrack/edge/_knowledge_exchange.py
+++ b/whinrack/edge/_knowledge_exchange.py
@@ -1,4 +1,4 @@
-"""Passes on what the store said, so that peers learn it while they can't ask the store."""
+"""Exchange of store objects between instances, for use while the store is unavailable."""
 
 import zlib
 from collections.abc import Callable
@@ -11,120 +11,128 @@
 from whinrack.http1 import ConnectionPool, Exchange, Headers, HttpServer, RequestHead
 from whinrack.store import StoredObject
 
-__all__ = ["KnowledgeServer", "SharedKnowledge", "ask_peer", "encode_answer", "fetch_knowledge"]
+__all__ = [
+    "KnowledgeServer",
+    "SharedKnowledge",
+    "encode_answer",
+    "fetch_knowledge",
+    "get_from_peer",
+]
 
 _PATH = b"/v1/knowledge"
 _OK = 200
 _NOT_FOUND = 404
 _JSON: Headers = [(b"content-type", b"application/json")]
 _DEFLATED: Headers = [*_JSON, (b"content-encoding", b"deflate")]
-# Longer answers are compressed.
-_COMPRESSED_FROM = 2048
+# Answers of at least this size are compressed.
+_MIN_COMPRESSED_BYTES = 2048
 _COMPRESSION_LEVEL = 1
 _FETCH_SECONDS = 1.0
 
 
 class SharedKnowledge(msgspec.Struct, frozen=True):
-    """Objects of the store as an instance has met them.
+    """Objects of the store as known to an instance.
 
     Attributes
     ----------
     configuration : StoredObject or None
-        The one in force there.
+        Configuration in force at that instance.
     targets : tuple of StoredObject
-        Those that are not known to be gone.
+        Records of targets that are not known to be deleted.
     """
 
     configuration: StoredObject | None = None
     targets: tuple[StoredObject, ...] = ()
 
 
-def _know_nothing(exchange: Exchange) -> bool:
+def _handle_nothing(exchange: Exchange) -> bool:
     return False
 
 
 class KnowledgeServer:
-    """Answers peers that ask what this instance knows.
+    """Serves this instance's knowledge to peers.
 
     Parameters
     ----------
     address : HostPort
-        Where to listen; peers find it at the address of the datagrams.
-    known : callable
-        Returns the `SharedKnowledge`.
-    relay : callable, optional
-        Answers other questions; returns False for those that it doesn't know.
+        Address to listen at. Peers use the address that they send datagrams to.
+    knowledge : callable
+        Returns the `SharedKnowledge` of this instance.
+    handle_other : callable, optional
+        Handles requests for other paths; returns False for paths that it does not know.
     """
 
     def __init__(
         self,
         address: HostPort,
-        known: Callable[[], SharedKnowledge],
-        relay: Callable[[Exchange], bool] = _know_nothing,
+        knowledge: Callable[[], SharedKnowledge],
+        handle_other: Callable[[Exchange], bool] = _handle_nothing,
     ):
-        self.known = known
-        self.relay = relay
+        self.knowledge = knowledge
+        self.handle_other = handle_other
         self._server = HttpServer(address, self._answer)
 
     @property
     def address(self) -> HostPort:
-        """Where it listens."""
+        """Address that the server listens at."""
         return self._server.address
 
     def start(self) -> None:
-        """Listen in the background."""
+        """Start to listen, in the background."""
         self._server.start()
 
     def stop(self) -> None:
-        """Listen no more."""
+        """Stop listening."""
         self._server.stop_listening()
 
     def _answer(self, exchange: Exchange) -> None:
         if exchange.head.target == _PATH:
-            headers, body = encode_answer(self.known())
+            headers, body = encode_answer(self.knowledge())
             exchange.respond(_OK, headers, body)
-        elif not self.relay(exchange):
+        elif not self.handle_other(exchange):
             exchange.respond(_NOT_FOUND, [], b"")
 
 
 def encode_answer(value: msgspec.Struct) -> tuple[Headers, bytes]:
-    """Return headers and body of an answer to a peer, compressed where that is worth it."""
+    """Encode an answer to a peer as headers and body, compressed if it is long."""
     body = msgspec.json.encode(value)
-    if len(body) < _COMPRESSED_FROM:
+    if len(body) < _MIN_COMPRESSED_BYTES:
         return _JSON, body
     return _DEFLATED, zlib.compress(body, _COMPRESSION_LEVEL)
 
 
 def fetch_knowledge(
-    address: HostPort, moved: Callable[[str, HostPort, int], None] | None = None
+    address: HostPort, on_transfer: Callable[[str, HostPort, int], None] | None = None
 ) -> SharedKnowledge | None:
-    """Ask a peer what it knows; None if it doesn't answer in time."""
+    """Fetch the knowledge of a peer; None if it does not answer in time."""
     connections = ConnectionPool()
     try:
-        return ask_peer(address, _PATH, _FETCH_SECONDS, connections, SharedKnowledge, moved)
+        return get_from_peer(
+            address, _PATH, _FETCH_SECONDS, connections, SharedKnowledge, on_transfer
+        )
     finally:
         connections.close()
 
 
-def ask_peer(
+def get_from_peer(
     address: HostPort,
     path: bytes,
     seconds: float,
     connections: ConnectionPool,
     answer_type: type,
-    moved: Callable[[str, HostPort, int], None] | None = None,
+    on_transfer: Callable[[str, HostPort, int], None] | None = None,
 ):
-    """Ask a peer by HTTP.
+    """Send a GET request to a peer and decode the answer.
 
     Parameters
     ----------
-    moved : callable, optional
-        Called with the kind of question, the address and the bytes of the answer's body.
+    on_transfer : callable, optional
+        Called with the lower-case name of the answer type, the address and the size of the body.
 
     Returns
     -------
     answer_type or None
-        None without an answer in time that can be read.
+        None if there is no valid answer in time.
     """
     end = steady() + seconds
     try:
@@ -139,13 +147,13 @@
         return None
     finally:
         connections.give_back(connection)
-    if moved is not None:
-        moved(answer_type.__name__.lower(), address, len(body))
+    if on_transfer is not None:
+        on_transfer(answer_type.__name__.lower(), address, len(body))
     return _decode(body, answer_type) if head.status == _OK else None
 
 
 def _decode(body: bytes, answer_type: type):
-    """Return the answer; a JSON text starts with a brace unless it is compressed."""
+    """Decode an answer, which is compressed unless it starts with a brace."""
     try:
         text = body if body.startswith(b"{") else zlib.decompress(body)
         return msgspec.json.decode(text, type=answer_type)
--- a/whinrack/edge/_limit_log.py
+++ b/whinrack/edge/_limit_log.py
@@ -1,4 +1,4 @@
-"""Tells which targets have stated a limit of requests, and the peers that it has changed."""
+"""Logging of rate limits that targets state, and notification of the peers."""
 
 from collections.abc import Callable
 
@@ -8,53 +8,59 @@
 
 __all__ = ["LimitLog"]
 
-# A target may state another number with each answer: lines on one target, and heartbeats that go
-# out for such changes, have so many seconds between them at least. What no heartbeat goes out for
-# comes with the next one.
-_LINE_SECONDS = 1.0
-_SPREAD_SECONDS = 1.0
-# The start and the end of a limit have a line always, and heartbeats that go out for one have so
-# many seconds between them: by the usual ones alone 200 instances take some three seconds.
-_NEWS_SECONDS = 0.25
-# Targets whose last line is remembered, the latest ones.
-_MOST_TARGETS = 500
+# A target may state a different limit with each answer, so log lines of one target and heartbeats
+# sent for such changes have a minimum interval. Changes in between go out with the next heartbeat.
+_LOG_INTERVAL_SECONDS = 1.0
+_NOTIFY_INTERVAL_SECONDS = 1.0
+# The start and the end of a limit are always logged, and heartbeats are sent for them at this
+# minimum interval: periodic heartbeats alone take some three seconds to reach 200 instances.
+_START_END_NOTIFY_INTERVAL_SECONDS = 0.25
+# Number of targets whose last log time is remembered, the latest ones.
+_MAX_TARGETS = 500
 
 
 class LimitLog:
-    """Logs each limit that becomes known, changes or ends.
+    """Logs each limit that starts, changes or ends.
 
     Parameters
     ----------
     registry : TargetRegistry
     metrics : Metrics
-    spread : callable
-        Called with each change, to tell the peers at once: most of them send nothing to the
-        target and hear nothing from it.
+    notify_peers : callable
+        Called after a change, to notify the peers at once: most of them send no requests to the
+        target and would not see its limit otherwise.
     """
 
-    def __init__(self, registry: TargetRegistry, metrics: Metrics, spread: Callable[[], None]):
+    def __init__(
+        self, registry: TargetRegistry, metrics: Metrics, notify_peers: Callable[[], None]
+    ):
         self.registry = registry
         self.metrics = metrics
-        self.spread = spread
-        self._line_at: dict[str, float] = {}
-        self._spread_at = float("-inf")
+        self.notify_peers = notify_peers
+        self._logged_at: dict[str, float] = {}
+        self._notified_at = float("-inf")
 
-    def changed(self, change: LimitChange) -> None:
-        """Log and pass on one change, unless the one before is too recent."""
+    def on_limit_changed(self, change: LimitChange) -> None:
+        """Log a change and notify the peers, each subject to its minimum interval."""
         self.metrics.limited_targets.set(len(self.registry.stated_limits.limited_targets()))
         now = steady()
-        is_another_number = NO_LIMIT not in (change.previous_rate, change.rate)
-        if not is_another_number or now - self._line_at.get(change.target, 0.0) >= _LINE_SECONDS:
+        is_value_change = NO_LIMIT not in (change.previous_rate, change.rate)
+        if (
+            not is_value_change
+            or now - self._logged_at.get(change.target, 0.0) >= _LOG_INTERVAL_SECONDS
+        ):
             self._log(change, now)
-        if now - self._spread_at >= (_SPREAD_SECONDS if is_another_number else _NEWS_SECONDS):
-            self._spread_at = now
-            self.spread()
+        if now - self._notified_at >= (
+            _NOTIFY_INTERVAL_SECONDS if is_value_change else _START_END_NOTIFY_INTERVAL_SECONDS
+        ):
+            self._notified_at = now
+            self.notify_peers()
 
     def _log(self, change: LimitChange, now: float) -> None:
-        self._line_at.pop(change.target, None)
-        self._line_at[change.target] = now
-        while len(self._line_at) > _MOST_TARGETS:
-            del self._line_at[next(iter(self._line_at))]
+        self._logged_at.pop(change.target, None)
+        self._logged_at[change.target] = now
+        while len(self._logged_at) > _MAX_TARGETS:
+            del self._logged_at[next(iter(self._logged_at))]
         log_event(
             Event.TARGET_LIMITED,
             target=change.target,
--- a/whinrack/edge/_settings_follower.py
+++ b/whinrack/edge/_settings_follower.py
@@ -1,4 +1,4 @@
-"""Settings that change while the process runs."""
+"""Reloading of settings in a running process."""
 
 import contextlib
 from collections.abc import Callable
@@ -11,55 +11,55 @@
 
 __all__ = ["SettingsFollower"]
 
-# How often the settings are read without a signal.
-_SETTINGS_SECONDS = 5.0
+# Interval at which the settings are read without a signal.
+_POLL_SECONDS = 5.0
 
 
 class SettingsFollower:
-    """Reads the settings again and passes on what comes into force without a restart.
+    """Rereads the settings and applies the options that need no restart.
 
     Parameters
     ----------
     options : EdgeOptions
-        Those in force at the start.
+        Options in force at the start.
     read : callable
         Reads the settings and returns the `EdgeOptions`; raises `InvalidSettings`.
-    use : callable
-        Called with the `EdgeOptions` that are in force from now on.
+    apply : callable
+        Called with the changed `EdgeOptions`.
     """
 
     def __init__(
         self,
         options: EdgeOptions,
         read: Callable[[], EdgeOptions],
-        use: Callable[[EdgeOptions], None],
+        apply: Callable[[EdgeOptions], None],
     ):
         self.options = options
         self.read = read
-        self.use = use
+        self.apply = apply
 
     def reload(self) -> None:
-        """Put changed settings in force; invalid ones change nothing."""
+        """Apply changed settings; log invalid ones and keep the current options."""
         try:
             read = self.read()
         except InvalidSettings as error:
             log_event(Event.SETTINGS_INVALID, error=error.message)
             return
-        self._take(reload_options(self.options, read))
+        self._apply_reloaded(reload_options(self.options, read))
 
     def follow(self) -> None:
-        """Notice changes that no signal told, for ever."""
+        """Poll the settings for changes until the process ends."""
         while True:
-            eventlet.sleep(_SETTINGS_SECONDS)
-            # Invalid settings are logged when a signal asks for them.
+            eventlet.sleep(_POLL_SECONDS)
+            # Invalid settings are logged only when a signal requests a reload.
             with contextlib.suppress(InvalidSettings):
                 reloaded = reload_options(self.options, self.read())
                 if reloaded.changed:
-                    self._take(reloaded)
+                    self._apply_reloaded(reloaded)
 
-    def _take(self, reloaded: ReloadedOptions) -> None:
+    def _apply_reloaded(self, reloaded: ReloadedOptions) -> None:
         self.options = reloaded.options
-        self.use(reloaded.options)
+        self.apply(reloaded.options)
         log_event(
             Event.SETTINGS_RELOADED,
             changed=",".join(reloaded.changed) or "nothing",
--- a/whinrack/edge/_store_availability.py
+++ b/whinrack/edge/_store_availability.py
@@ -1,42 +1,42 @@
-"""Whether the store answers, and waking those who wait for it."""
+"""Whether the store is available, and waiting until it is."""
 
 from collections.abc import Callable
 
 from eventlet.event import Event
 from eventlet.timeout import Timeout
 
-__all__ = ["StoreContact"]
+__all__ = ["StoreAvailability"]
 
 
-class StoreContact:
-    """What the latest call to the store showed.
+class StoreAvailability:
+    """Availability of the store as of the latest call.
 
-    While the store is away one task probes it; the others wait here and go on as soon
-    as it answers, so that an outage costs few calls and ends for all at once.
+    During an outage one task probes the store. The others wait here and resume as soon as it
+    answers, so that an outage causes few calls and ends for all tasks at once.
 
     Parameters
     ----------
-    changed : callable
-        Called with True when the store answers again, with False when it is lost.
+    on_change : callable
+        Called with True when the store answers again, with False when it stops answering.
     """
 
-    def __init__(self, changed: Callable[[bool], None]):
-        self.changed = changed
-        self.answers = True
-        self._back = Event()
+    def __init__(self, on_change: Callable[[bool], None]):
+        self.on_change = on_change
+        self.is_available = True
+        self._recovered = Event()
 
     def report(self, answered: bool) -> None:
-        """Take in the outcome of a call."""
-        if answered == self.answers:
+        """Record whether a call was answered."""
+        if answered == self.is_available:
             return
-        self.answers = answered
+        self.is_available = answered
         if answered:
-            back, self._back = self._back, Event()
-            back.send(None)
-        self.changed(answered)
+            recovered, self._recovered = self._recovered, Event()
+            recovered.send(None)
+        self.on_change(answered)
 
-    def wait(self, seconds: float) -> None:
-        """Return when the store answers again, or after some seconds."""
-        if not self.answers:
+    def wait_until_available(self, seconds: float) -> None:
+        """Wait until the store answers again, at most for some seconds."""
+        if not self.is_available:
             with Timeout(seconds, False):
-                self._back.wait()
+                self._recovered.wait()
--- a/whinrack/edge/_upkeep.py
+++ b/whinrack/edge/_upkeep.py
@@ -1,4 +1,4 @@
-"""What an instance writes of itself: log lines that wait, sleeps of the machine, traffic."""
+"""Writing of buffered log lines and periodic log events."""
 
 import eventlet
 
@@ -10,12 +10,12 @@
 
 __all__ = ["Upkeep"]
 
-_PUMP_SECONDS = 0.1
-_TRAFFIC_LOG_SECONDS = 20.0
+_WRITE_INTERVAL_SECONDS = 0.1
+_TRAFFIC_LOG_INTERVAL_SECONDS = 20.0
 
 
 class Upkeep:
-    """Writes waiting log lines, and lines on what is counted.
+    """Writes buffered log lines, and logs dropped lines, suspensions and traffic.
 
     Parameters
     ----------
@@ -34,8 +34,8 @@
         self.link = link
         self._reported_drops = 0
 
-    def pump_forever(self) -> None:
-        """Write what waits; tell of lines that were left out and of sleeps of the machine."""
+    def write_logs_forever(self) -> None:
+        """Write buffered lines; log dropped lines and suspensions of the machine."""
         sleep_watch = SleepWatch()
         while True:
             slept = sleep_watch.slept()
@@ -45,16 +45,16 @@
             if self.output.dropped > self._reported_drops:
                 log_event(Event.LINES_DROPPED, count=self.output.dropped - self._reported_drops)
                 self._reported_drops = self.output.dropped
-            eventlet.sleep(_PUMP_SECONDS)
+            eventlet.sleep(_WRITE_INTERVAL_SECONDS)
 
     def log_traffic_forever(self) -> None:
-        """Tell now and then what moved."""
+        """Log the traffic periodically until the process ends."""
         while True:
-            eventlet.sleep(_TRAFFIC_LOG_SECONDS)
+            eventlet.sleep(_TRAFFIC_LOG_INTERVAL_SECONDS)
             self.log_traffic()
 
     def log_traffic(self) -> None:
-        """Tell what moved between this instance and others since its start."""
+        """Log the traffic between this instance and others since its start."""
         log_event(
             Event.TRAFFIC,
             sent=self.traffic.summary(),
--- a/whinrack/edge/_upstream_selection.py
+++ b/whinrack/edge/_upstream_selection.py
@@ -1,4 +1,4 @@
-"""Who follows the store itself, and who is fed by a peer that does."""
+"""Selection of the upstream: the store itself, or a peer that relays it."""
 
 import math
 from collections.abc import Callable
@@ -7,36 +7,39 @@
 
 from whinrack.base import rendezvous
 from whinrack.clock import steady
-from whinrack.edge._kind_follower import FollowedSource, SourcePlan
+from whinrack.edge._kind_follower import Upstream, UpstreamSelector
 from whinrack.edge._options import HostPort
-from whinrack.edge._relay import PeerFeed
-from whinrack.edge._store_availability import StoreContact
+from whinrack.edge._relay import PeerStore
+from whinrack.edge._store_availability import StoreAvailability
 from whinrack.gossip import PeerState, PeerTable, prefer_high_capacity
 from whinrack.http1 import ConnectionPool
 from whinrack.store import ObjectStore
 
-__all__ = ["FeedPlan", "choose_feeders", "choose_following_halls"]
-
-# Instances of each data hall that feed the others. The first of them follows the store, or another
-# hall's; the second is fed by it, and takes its place as soon as the first one doesn't answer.
-_FEEDERS_OF_A_HALL = 2
-# For so many instances one data hall follows the store; the other halls are fed by it. With each
-# hall following, 24 instances in five halls made 1,304 calls in a day of 68 s, and 718 with two.
-_INSTANCES_OF_A_FOLLOWER = 40
-# At least, since only instances that the store answered lately write the books.
-_FEWEST_FOLLOWING_HALLS = 2
-# For so long a peer that didn't answer isn't asked again, seconds.
+__all__ = ["FleetUpstreamSelector", "choose_relays", "choose_store_halls"]
+
+# Relays in each data hall. The first follows the store or a relay of another hall. The second
+# follows the first and replaces it as soon as the first does not answer.
+_RELAYS_PER_HALL = 2
+# One data hall follows the store for this many instances of the fleet; the other halls follow its
+# relay. In a run of 68 s, 24 instances in five halls made 1,304 calls when all halls followed the
+# store and 718 when two did.
+_INSTANCES_PER_STORE_HALL = 40
+# At least two halls follow the store, because only instances with a recent answer of the store
+# write accounts.
+_MIN_STORE_HALLS = 2
+# A peer that did not answer is not selected again for this time.
 _AVOID_SECONDS = 3.0
-# Between two looks at whether peers are known.
+# Interval at which `wait_for_peers` checks the peer table.
 _POLL_SECONDS = 0.02
 
 
-def choose_feeders(states: list[PeerState], hall: str) -> list[PeerState]:
-    """Return the instances of a data hall that feed the others there, in order.
+def choose_relays(states: list[PeerState], hall: str) -> list[PeerState]:
+    """Return the relays of a data hall in order of preference.
 
-    While the store answers nobody, the choice doesn't depend on who has noticed that: else one
-    instance after the other takes over, asks the store in vain and counts it as lost: 5,854
-    changes of source and 1,083 watches that failed in two outages of 8 s for 195 instances.
+    While the store answers no instance, the choice does not depend on which instances have noticed
+    it. Otherwise one instance after the other takes over, fails to reach the store and is replaced
+    in turn: two outages of 8 s caused 5,854 changes of upstream and 1,083 failed watches in a fleet
+    of 195 instances.
 
     Parameters
     ----------
@@ -49,11 +52,11 @@
         ready = [state for state in ready if state.store_answers] or ready
     by_name = {state.sender.name: state for state in prefer_high_capacity(ready)}
     ordered = rendezvous(f"watch/{hall}", by_name)
-    return [by_name[name] for name in ordered[:_FEEDERS_OF_A_HALL]]
+    return [by_name[name] for name in ordered[:_RELAYS_PER_HALL]]
 
 
-def choose_following_halls(states: list[PeerState]) -> list[str]:
-    """Return the data halls whose first feeders follow the store, in a fixed order.
+def choose_store_halls(states: list[PeerState]) -> list[str]:
+    """Return the data halls whose first relay follows the store, in a fixed order.
 
     Parameters
     ----------
@@ -63,129 +66,136 @@
     halls = {state.data_hall for state in states}
     if any(state.store_confirmed for state in states):
         halls = {state.data_hall for state in states if state.store_answers} or halls
-    count = max(_FEWEST_FOLLOWING_HALLS, math.ceil(len(states) / _INSTANCES_OF_A_FOLLOWER))
+    count = max(_MIN_STORE_HALLS, math.ceil(len(states) / _INSTANCES_PER_STORE_HALL))
     return rendezvous("following halls", halls)[:count]
 
 
-class FeedPlan(SourcePlan):
-    """In a large fleet one instance of each data hall feeds the others there.
+class FleetUpstreamSelector(UpstreamSelector):
+    """Selects the upstream of an instance from the state of the fleet.
 
-    It follows the store itself, or in a fleet of some tens is fed by one in another hall that does.
-    An instance without a peer that would feed it follows the store itself, and so does
-    each while the fleet is small.
+    In a large fleet one instance of each data hall relays the store to the others there. It
+    follows the store, or a relay of another hall if the fleet has more halls than need to follow
+    the store. An instance for which no relay is available follows the store, and so do all
+    instances of a small fleet.
 
     Parameters
     ----------
     store : ObjectStore
-    contact : StoreContact
+    availability : StoreAvailability
     own_state : callable
-        Returns what this instance says of itself.
+        Returns the `PeerState` of this instance.
     peers : PeerTable
-    moved : callable, optional
-        See `ask_peer`.
+    on_transfer : callable, optional
+        See `get_from_peer`.
     settle_seconds : float, optional
-        Time after the start in which peers may make themselves known; until then the store
-        isn't asked.
+        Time after the start that is allowed for peer discovery; the store is not called before.
     """
 
     def __init__(
         self,
         store: ObjectStore,
-        contact: StoreContact,
+        availability: StoreAvailability,
         own_state: Callable[[], PeerState],
         peers: PeerTable,
-        moved: Callable[[str, HostPort, int], None] | None = None,
+        on_transfer: Callable[[str, HostPort, int], None] | None = None,
         settle_seconds: float = 0.0,
     ):
         super().__init__(store)
-        self.contact = contact
+        self.availability = availability
         self.own_state = own_state
         self.peers = peers
-        self.moved = moved
+        self.on_transfer = on_transfer
         self.settle_seconds = settle_seconds
         self._connections = ConnectionPool()
-        self._avoided: dict[HostPort, float] = {}
-        self._avoided_halls: dict[str, float] = {}
-        self._store_until = float("-inf")
+        self._avoided_until: dict[HostPort, float] = {}
+        self._halls_avoided_until: dict[str, float] = {}
+        self._store_preferred_until = float("-inf")
 
-    def settle(self) -> None:
-        """Wait until the peers are known, or so much time has passed that there may be none.
+    def wait_for_peers(self) -> None:
+        """Wait until the peers are known, at most for the settle time.
 
-        Without it each instance of a large fleet follows the store itself at first: 3,670 of
-        6,503 calls of a day for 195 instances were watches and lists of its first 20 s.
+        Without this each instance of a large fleet follows the store at first: in a run of 195
+        instances, 3,670 of 6,503 calls were watches and lists of its first 20 s.
         """
         end = steady() + self.settle_seconds
         while self.peers.is_full_mesh and steady() < end:
             eventlet.sleep(_POLL_SECONDS)
 
-    def store_may_answer(self) -> bool:
-        """Whether a peer has heard from the store lately."""
+    def is_store_likely_available(self) -> bool:
+        """Return whether a peer has reached the store recently."""
         return bool(self.peers.peers_with_store(steady()))
 
-    def source(self) -> FollowedSource:
-        """Return whom to ask next."""
+    def select(self) -> Upstream:
+        """Return the upstream for the next call."""
         now = steady()
-        if self.peers.is_full_mesh or (self.contact.answers and now < self._store_until):
-            return FollowedSource(self.store)
-        feeder = self._feeder(now)
-        if feeder is None:
-            return FollowedSource(self.store)
-        address = feeder.sender.address
-        return FollowedSource(PeerFeed(address, self._connections, self.moved), address)
-
-    def failed(self, source: FollowedSource) -> None:
-        """Learn that a peer didn't answer; another hall's may be cut off with all of that hall."""
+        if self.peers.is_full_mesh or (
+            self.availability.is_available and now < self._store_preferred_until
+        ):
+            return Upstream(self.store)
+        relay = self._choose_relay(now)
+        if relay is None:
+            return Upstream(self.store)
+        address = relay.sender.address
+        return Upstream(PeerStore(address, self._connections, self.on_transfer), address)
+
+    def report_failure(self, upstream: Upstream) -> None:
+        """Avoid a peer that did not answer for a while.
+
+        A peer in another hall may be cut off together with its hall, so that hall is avoided too.
+        """
         now = steady()
-        self._avoided[source.address] = now + _AVOID_SECONDS
-        hall = self._hall_of(source.address, now)
+        self._avoided_until[upstream.address] = now + _AVOID_SECONDS
+        hall = self._data_hall_of(upstream.address, now)
         if hall is not None and hall != self.own_state().data_hall:
-            self._avoided_halls[hall] = now + _AVOID_SECONDS
+            self._halls_avoided_until[hall] = now + _AVOID_SECONDS
 
-    def behind(self, source: FollowedSource) -> None:
-        """Leave a peer that passes on old knowledge though it says that it reaches the store.
+    def report_stale(self, upstream: Upstream) -> None:
+        """Avoid a peer that relays stale data although it reports the store as reachable.
 
-        One that says that it lost the store is kept: others are chosen as watchers by that
-        word already, and in an outage for all there is nobody better.
+        A peer that reports the store as unreachable is kept: relays are already chosen by that
+        report, and in an outage for all instances there is no better one.
         """
         live = self.peers.live_peers(steady())
         states = {view.state.sender.address: view.state for view in live}
-        state = states.get(source.address)
+        state = states.get(upstream.address)
         if state is None or state.store_answers:
-            self.failed(source)
+            self.report_failure(upstream)
 
-    def follow_store(self) -> None:
-        """Follow the store for a while; others that can't reach it are fed from here then."""
-        self._store_until = steady() + _AVOID_SECONDS
+    def prefer_store(self) -> None:
+        """Follow the store for a while, so that peers without it can follow this instance."""
+        self._store_preferred_until = steady() + _AVOID_SECONDS
 
-    def _feeder(self, now: float) -> PeerState | None:
-        """Return the peer that feeds this instance, None if it follows the store."""
+    def _choose_relay(self, now: float) -> PeerState | None:
+        """Return the relay that this instance follows, None if it follows the store."""
         own = self.own_state()
         states = [view.state for view in self.peers.live_peers(now)]
-        usable = [state for state in states if self._avoided.get(state.sender.address, 0.0) <= now]
-        feeders = {
-            state.sender.name: state for state in choose_feeders([*usable, own], own.data_hall)
+        usable = [
+            state for state in states if self._avoided_until.get(state.sender.address, 0.0) <= now
+        ]
+        relays = {
+            state.sender.name: state for state in choose_relays([*usable, own], own.data_hall)
         }
-        first = next(iter(feeders.values()))
+        first = next(iter(relays.values()))
         if first is own:
-            return self._feeder_elsewhere([*usable, own], own.data_hall, now)
-        if own.sender.name in feeders:
+            return self._choose_remote_relay([*usable, own], own.data_hall, now)
+        if own.sender.name in relays:
             return first
-        return feeders[rendezvous(own.sender.name, feeders)[0]]
+        return relays[rendezvous(own.sender.name, relays)[0]]
 
-    def _feeder_elsewhere(
+    def _choose_remote_relay(
         self, states: list[PeerState], own_hall: str, now: float
     ) -> PeerState | None:
-        """Return who feeds the first feeder of this hall, None if that one follows the store."""
-        halls = choose_following_halls(states)
+        """Return the relay that the first relay of this hall follows, None for the store."""
+        halls = choose_store_halls(states)
         if own_hall in halls:
             return None
         for hall in rendezvous(own_hall, halls):
-            if self._avoided_halls.get(hall, 0.0) <= now:
-                return choose_feeders(states, hall)[0]
+            if self._halls_avoided_until.get(hall, 0.0) <= now:
+                return choose_relays(states, hall)[0]
         return None
 
-    def _hall_of(self, address: HostPort, now: float) -> str | None:
-        """Return the data hall of the live peer at an address, None if there is none."""
+    def _data_hall_of(self, address: HostPort, now: float) -> str | None:
+        """Return the data hall of the live peer at an address, None if there is no such peer."""
         halls = {
             view.state.sender.address: view.state.data_hall for view in self.peers.live_peers(now)
         }
