--- a/whinrack/ejection/_policies.py
+++ b/whinrack/ejection/_policies.py
@@ -57,35 +57,35 @@
         self.failure_threshold = failure_threshold
         self.initial_seconds = initial_seconds
         self.max_seconds = max_seconds
-        self._in_row = 0
-        self._period = initial_seconds
-        self._until = float("-inf")
+        self._consecutive_failures = 0
+        self._next_seconds = initial_seconds
+        self._ejected_until = float("-inf")
 
     def record_failure(self, now: float) -> None:
         """Learn of a failed or broken connection."""
-        self._in_row += 1
-        if self._in_row >= self.failure_threshold and not self.is_ejected(now):
-            self._set_aside(now)
+        self._consecutive_failures += 1
+        if self._consecutive_failures >= self.failure_threshold and not self.is_ejected(now):
+            self._eject(now)
 
     def record_unreachable(self, now: float) -> None:
         """Set the target aside at once: each further try would cost its caller a wait."""
-        self._in_row = max(self._in_row + 1, self.failure_threshold)
+        self._consecutive_failures = max(self._consecutive_failures + 1, self.failure_threshold)
         if not self.is_ejected(now):
-            self._set_aside(now)
+            self._eject(now)
 
-    def _set_aside(self, now: float) -> None:
-        self._until = now + self._period
-        self._period = min(self.max_seconds, self._period * 2)
+    def _eject(self, now: float) -> None:
+        self._ejected_until = now + self._next_seconds
+        self._next_seconds = min(self.max_seconds, self._next_seconds * 2)
 
     def record_success(self, now: float) -> None:
         """Learn of an answer."""
-        self._in_row = 0
-        self._period = self.initial_seconds
-        self._until = now
+        self._consecutive_failures = 0
+        self._next_seconds = self.initial_seconds
+        self._ejected_until = now
 
     def is_ejected(self, now: float) -> bool:
         """Whether the target takes no work from here now."""
-        return now < self._until
+        return now < self._ejected_until
 
 
 class MajorityEjection(EjectionPolicy):
@@ -103,22 +103,22 @@
     def __init__(self, local: LocalEjection, ask_peers: Callable[[float], tuple[int, int]]):
         self.local = local
         self.ask_peers = ask_peers
-        self._agreed_until = float("-inf")
+        self._ejected_until = float("-inf")
 
     def record_failure(self, now: float) -> None:
         """Learn of a failure, and ask the peers where it would set the target aside."""
         self.local.record_failure(now)
-        if not self.local.is_ejected(now) or now < self._agreed_until:
+        if not self.local.is_ejected(now) or now < self._ejected_until:
             return
         failing, answered = self.ask_peers(now)
         if 2 * (failing + 1) > answered + 1:
-            self._agreed_until = self.local._until
+            self._ejected_until = self.local._ejected_until
 
     def record_success(self, now: float) -> None:
         """Learn of an answer."""
         self.local.record_success(now)
-        self._agreed_until = now
+        self._ejected_until = now
 
     def is_ejected(self, now: float) -> bool:
         """Whether the target takes no work from here now."""
-        return now < self._agreed_until
+        return now < self._ejected_until
--- a/whinrack/peers/__init__.py
+++ b/whinrack/peers/__init__.py
@@ -1,6 +1,6 @@
 """Calls between the daemons."""
 
-from whinrack.peers._bridge import call_green, run_coroutine
+from whinrack.peers._bridge import run_coroutine, run_in_green_thread
 from whinrack.peers._client import PeerClient
 from whinrack.peers._server import PeerServer
 from whinrack.peers._tls import client_context, server_context
@@ -10,7 +10,7 @@
     FeedSubscription,
     FeedUpdate,
     PeerHandlers,
-    PeerWord,
+    PeerReport,
 )
 
 __all__ = [
@@ -21,8 +21,8 @@
     "PeerClient",
     "PeerHandlers",
     "PeerServer",
-    "PeerWord",
-    "call_green",
+    "PeerReport",
+    "run_in_green_thread",
     "client_context",
     "run_coroutine",
     "server_context",
--- a/whinrack/peers/_bridge.py
+++ b/whinrack/peers/_bridge.py
@@ -12,7 +12,7 @@
 from eventlet.event import Event
 from eventlet.hubs import get_hub
 
-__all__ = ["call_green", "run_coroutine", "spawn_coroutine"]
+__all__ = ["run_in_green_thread", "run_coroutine", "spawn_coroutine"]
 
 T = TypeVar("T")
 
@@ -38,7 +38,7 @@
     return get_hub().loop.create_task(coroutine)
 
 
-async def call_green(function: Callable[..., T], *args: object) -> T:
+async def run_in_green_thread(function: Callable[..., T], *args: object) -> T:
     """Run a blocking function in a green thread of its own and await its result."""
     future = asyncio.get_running_loop().create_future()
 
--- a/whinrack/peers/_client.py
+++ b/whinrack/peers/_client.py
@@ -21,16 +21,16 @@
     AnswerPart,
     ConsultQuery,
     FeedUpdate,
-    PeerWord,
+    PeerReport,
 )
 from whinrack.requests import ConsultReply, HandoverEntry
 
 __all__ = ["PeerClient"]
 
-_LOST = (OSError, asyncio.TimeoutError, GRPCError, StreamTerminatedError)
-_FEED_SILENCE = 3.0
-_JOIN_SILENCE = 60.0
-_DRAW_FACTOR = 4.0
+_TRANSPORT_ERRORS = (OSError, asyncio.TimeoutError, GRPCError, StreamTerminatedError)
+_FEED_IDLE_TIMEOUT = 3.0
+_JOIN_IDLE_TIMEOUT = 60.0
+_DRAW_TIMEOUT_FACTOR = 4.0
 
 
 class PeerClient:
@@ -55,14 +55,14 @@
         self.tls = tls
         self._channels: dict[str, grpclib.client.Channel] = {}
 
-    def heartbeat(
+    def send_heartbeat(
         self, address: str, sender: Member, leaving: Sequence[str]
-    ) -> Result[PeerWord, WhinrackError]:
+    ) -> Result[PeerReport, WhinrackError]:
         """Send a heartbeat and return the peer's own word."""
         request = pb.HeartbeatRequest(sender=_codec.member_to_pb(sender), leaving_targets=leaving)
         reply = self._call("Heartbeat", address, request, self.timeout)
         return reply.map(
-            lambda message: PeerWord(
+            lambda message: PeerReport(
                 _codec.member_from_pb(message.receiver),
                 list(message.leaving_targets),
             )
@@ -71,7 +71,7 @@
     def draw(self, address: str, order: DrawOrder) -> Result[DrawResult, WhinrackError]:
         """Have a peer draw from the platform."""
         request = pb.DrawRequest(draw=_codec.order_to_pb(order))
-        reply = self._call("DrawTokens", address, request, self.timeout * _DRAW_FACTOR)
+        reply = self._call("DrawTokens", address, request, self.timeout * _DRAW_TIMEOUT_FACTOR)
         if isinstance(reply, Failure):
             return reply
         message = reply.unwrap()
@@ -79,7 +79,7 @@
             return Failure(PlatformUnavailable(message.failure))
         return Success(_codec.result_from_pb(message))
 
-    def spare(
+    def request_tokens(
         self,
         address: str,
         budget: str,
@@ -110,17 +110,17 @@
             home=query.home,
         )
         reply = self._call("Consult", address, request, self.timeout)
-        return reply.map(_codec.verdict_from_pb)
+        return reply.map(_codec.consult_reply_from_pb)
 
     def hand_over(
         self, address: str, home: str, entries: Sequence[HandoverEntry]
     ) -> Result[None, WhinrackError]:
         """Give a peer the part of a stopping home's memory that it will be asked for."""
-        handed = [_codec.handed_to_pb(entry) for entry in entries]
-        request = pb.HandoverRequest(home=home, entries=handed)
+        messages = [_codec.handover_entry_to_pb(entry) for entry in entries]
+        request = pb.HandoverRequest(home=home, entries=messages)
         return self._call("Handover", address, request, self.timeout).map(lambda _reply: None)
 
-    def join(self, address: str, identity: str) -> Iterator[AnswerPart]:
+    def join_answer(self, address: str, identity: str) -> Iterator[AnswerPart]:
         """Yield the parts of an answer that a peer has.
 
         Raises
@@ -129,13 +129,13 @@
             When the peer is lost before the answer is whole.
         """
         request = pb.JoinRequest(identity=identity)
-        for chunk in self._stream("Join", address, request, _JOIN_SILENCE):
+        for chunk in self._stream("Join", address, request, _JOIN_IDLE_TIMEOUT):
             headers = tuple((field.name, field.value) for field in chunk.headers)
             yield AnswerPart(
-                status=chunk.status, headers=headers, body=chunk.body, whole=chunk.whole
+                status=chunk.status, headers=headers, body=chunk.body, is_final=chunk.whole
             )
 
-    def feed(self, address: str, since: int) -> Iterator[FeedUpdate]:
+    def follow_config(self, address: str, since: int) -> Iterator[FeedUpdate]:
         """Yield configuration changes that a peer knows.
 
         Raises
@@ -144,7 +144,7 @@
             When the peer is lost or falls silent.
         """
         request = pb.FeedRequest(since=since)
-        for reply in self._stream("Feed", address, request, _FEED_SILENCE):
+        for reply in self._stream("Feed", address, request, _FEED_IDLE_TIMEOUT):
             objects = [_codec.object_from_pb(message) for message in reply.objects]
             yield FeedUpdate(reply.revision, objects)
 
@@ -156,21 +156,21 @@
 
     def _call(self, call: str, address: str, request, timeout: float):
         async def run():
-            return await getattr(self._stub(address), call)(
+            return await getattr(self._get_stub(address), call)(
                 request, timeout=timeout, metadata=self._metadata()
             )
 
         try:
             reply = run_coroutine(run())
-        except _LOST as error:
+        except _TRANSPORT_ERRORS as error:
             self.metrics.peer_calls.labels(call, "failed").inc()
             return Failure(PeerUnavailable(f"{call} at {address}: {type(error).__name__}"))
         self.metrics.peer_calls.labels(call, "ok").inc()
         return Success(reply)
 
-    def _stream(self, call: str, address: str, request, silence: float):
+    def _stream(self, call: str, address: str, request, idle_timeout: float):
         queue: LightQueue = LightQueue()
-        task = spawn_coroutine(self._pump(call, address, request, silence, queue))
+        task = spawn_coroutine(self._receive_messages(call, address, request, idle_timeout, queue))
         try:
             while True:
                 item = queue.get()
@@ -183,21 +183,23 @@
         finally:
             task.cancel()
 
-    async def _pump(self, call: str, address: str, request, silence: float, queue: LightQueue):
+    async def _receive_messages(
+        self, call: str, address: str, request, idle_timeout: float, queue: LightQueue
+    ):
         try:
-            method = getattr(self._stub(address), call)
+            method = getattr(self._get_stub(address), call)
             async with method.open(metadata=self._metadata()) as stream:
                 await stream.send_message(request, end=True)
                 while True:
-                    message = await asyncio.wait_for(stream.recv_message(), silence)
+                    message = await asyncio.wait_for(stream.recv_message(), idle_timeout)
                     queue.put_nowait(message)
                     if message is None:
                         return
-        except _LOST as error:
+        except _TRANSPORT_ERRORS as error:
             lost = PeerUnavailable(f"{call} at {address}: {type(error).__name__}")
             queue.put_nowait(lost)
 
-    def _stub(self, address: str) -> PeerStub:
+    def _get_stub(self, address: str) -> PeerStub:
         channel = self._channels.get(address)
         if channel is None:
             host, _, port = address.partition(":")
--- a/whinrack/peers/_codec.py
+++ b/whinrack/peers/_codec.py
@@ -9,8 +9,8 @@
 from whinrack.store import StoredObject
 
 __all__ = [
-    "handed_from_pb",
-    "handed_to_pb",
+    "handover_entry_from_pb",
+    "handover_entry_to_pb",
     "member_from_pb",
     "member_to_pb",
     "object_from_pb",
@@ -19,8 +19,8 @@
     "order_to_pb",
     "result_from_pb",
     "result_to_pb",
-    "verdict_from_pb",
-    "verdict_to_pb",
+    "consult_reply_from_pb",
+    "consult_reply_to_pb",
 ]
 
 _MEMBER_FIELDS = Member.__struct_fields__
@@ -33,7 +33,7 @@
 _RESULT_FIELDS = tuple(
     name for name in DrawResult.__struct_fields__ if name in pb.DrawReply.DESCRIPTOR.fields_by_name
 )
-_CONSULTATIONS = {
+_PB_DECISIONS = {
     ConsultDecision.CEDED: pb.CEDED,
     ConsultDecision.HERE: pb.HERE,
     ConsultDecision.ELSEWHERE: pb.ELSEWHERE,
@@ -42,7 +42,7 @@
     ConsultDecision.RAN: pb.RAN,
     ConsultDecision.NOT_HEIR: pb.NOT_HEIR,
 }
-_CONSULTATION_OF = {value: key for key, value in _CONSULTATIONS.items()}
+_DECISIONS = {value: key for key, value in _PB_DECISIONS.items()}
 
 
 def member_to_pb(member: Member) -> pb.Member:
@@ -83,7 +83,7 @@
     return DrawResult(**{name: getattr(message, name) for name in _RESULT_FIELDS})
 
 
-def handed_to_pb(entry: HandoverEntry) -> pb.HandoverEntry:
+def handover_entry_to_pb(entry: HandoverEntry) -> pb.HandoverEntry:
     """Encode an entry of request memory."""
     return pb.HandoverEntry(
         identity=entry.identity,
@@ -93,20 +93,20 @@
     )
 
 
-def handed_from_pb(message: pb.HandoverEntry) -> HandoverEntry:
+def handover_entry_from_pb(message: pb.HandoverEntry) -> HandoverEntry:
     """Decode an entry of request memory."""
     state = RunState(message.state)
     return HandoverEntry(message.identity, message.body_hash, message.owner, state)
 
 
-def verdict_to_pb(verdict: ConsultReply) -> pb.ConsultReply:
+def consult_reply_to_pb(reply: ConsultReply) -> pb.ConsultReply:
     """Encode a verdict."""
-    return pb.ConsultReply(consultation=_CONSULTATIONS[verdict.decision], owner=verdict.owner)
+    return pb.ConsultReply(consultation=_PB_DECISIONS[reply.decision], owner=reply.owner)
 
 
-def verdict_from_pb(message: pb.ConsultReply) -> ConsultReply:
+def consult_reply_from_pb(message: pb.ConsultReply) -> ConsultReply:
     """Decode a verdict."""
-    return ConsultReply(_CONSULTATION_OF[message.consultation], message.owner)
+    return ConsultReply(_DECISIONS[message.consultation], message.owner)
 
 
 def object_to_pb(stored: StoredObject) -> pb.FeedObject:
--- a/whinrack/peers/_server.py
+++ b/whinrack/peers/_server.py
@@ -10,14 +10,14 @@
 
 from whinrack.observability import Event, Metrics, log_event
 from whinrack.peers import _codec
-from whinrack.peers._bridge import call_green, run_coroutine
+from whinrack.peers._bridge import run_coroutine, run_in_green_thread
 from whinrack.peers._pb import peer_pb2 as pb
 from whinrack.peers._pb.peer_grpc import PeerBase
 from whinrack.peers.base import FLEET_KEY_HEADER, ConsultQuery, PeerHandlers
 
 __all__ = ["PeerServer"]
 
-_FEED_KEEPALIVE = 1.0
+_FEED_KEEPALIVE_SECONDS = 1.0
 
 
 class _PeerService(PeerBase):
@@ -29,16 +29,16 @@
     async def Heartbeat(self, stream: Stream) -> None:  # noqa: N802
         request = await stream.recv_message()
         sender = _codec.member_from_pb(request.sender)
-        word = self.handlers.heartbeat(sender, list(request.leaving_targets))
+        report = self.handlers.receive_heartbeat(sender, list(request.leaving_targets))
         reply = pb.HeartbeatReply(
-            receiver=_codec.member_to_pb(word.member), leaving_targets=word.leaving
+            receiver=_codec.member_to_pb(report.member), leaving_targets=report.leaving_instances
         )
         await stream.send_message(reply)
 
     async def DrawTokens(self, stream: Stream) -> None:  # noqa: N802
         request = await stream.recv_message()
         order = _codec.order_from_pb(request.draw)
-        result = await call_green(self.handlers.draw, order)
+        result = await run_in_green_thread(self.handlers.draw, order)
         if isinstance(result, Failure):
             reply = pb.DrawReply(failure=result.failure().code)
         else:
@@ -47,7 +47,7 @@
 
     async def Spare(self, stream: Stream) -> None:  # noqa: N802
         request = await stream.recv_message()
-        given = self.handlers.spare(
+        given = self.handlers.give_tokens(
             request.budget,
             request.receiver,
             request.already_received,
@@ -66,23 +66,23 @@
             repeatable=request.repeatable,
             home=request.home,
         )
-        verdict = self.handlers.consult(query)
-        await stream.send_message(_codec.verdict_to_pb(verdict))
+        reply = self.handlers.consult(query)
+        await stream.send_message(_codec.consult_reply_to_pb(reply))
 
     async def Handover(self, stream: Stream) -> None:  # noqa: N802
         request = await stream.recv_message()
-        entries = [_codec.handed_from_pb(entry) for entry in request.entries]
-        self.handlers.inherit(request.home, entries)
+        entries = [_codec.handover_entry_from_pb(entry) for entry in request.entries]
+        self.handlers.take_over_memory(request.home, entries)
         await stream.send_message(pb.HandoverReply())
 
     async def Join(self, stream: Stream) -> None:  # noqa: N802
         request = await stream.recv_message()
-        parts = self.handlers.join(request.identity)
+        parts = self.handlers.join_answer(request.identity)
         while True:
-            part = await call_green(next, parts, None)
+            part = await run_in_green_thread(next, parts, None)
             if part is None:
                 return
-            chunk = pb.JoinChunk(status=part.status, body=part.body, whole=part.whole)
+            chunk = pb.JoinChunk(status=part.status, body=part.body, whole=part.is_final)
             for name, value in part.headers:
                 chunk.headers.add(name=name, value=value)
             await stream.send_message(chunk)
@@ -99,7 +99,7 @@
             await stream.send_message(pb.FeedReply(revision=revision, objects=objects))
             since = max(since, revision)
             if config.revision <= since:
-                await call_green(subscription.wait, _FEED_KEEPALIVE)
+                await run_in_green_thread(subscription.wait, _FEED_KEEPALIVE_SECONDS)
 
 
 class PeerServer:
--- a/whinrack/peers/base.py
+++ b/whinrack/peers/base.py
@@ -20,17 +20,17 @@
     "FeedSubscription",
     "FeedUpdate",
     "PeerHandlers",
-    "PeerWord",
+    "PeerReport",
 ]
 
 FLEET_KEY_HEADER = "whinrack-fleet-key"
 
 
-class PeerWord(NamedTuple):
+class PeerReport(NamedTuple):
     """A peer's word on itself, and the leaving instances that it knows of."""
 
     member: Member
-    leaving: list[str]
+    leaving_instances: list[str]
 
 
 class FeedUpdate(NamedTuple):
@@ -58,14 +58,14 @@
     ----------
     status : int
         HTTP status, on the first part only; else 0.
-    whole : bool
+    is_final : bool
         The last part of a whole answer.
     """
 
     status: int = 0
     headers: tuple[tuple[str, str], ...] = ()
     body: bytes = b""
-    whole: bool = False
+    is_final: bool = False
 
 
 class FeedSubscription:
@@ -81,7 +81,7 @@
 
     config: ConfigStore
 
-    def heartbeat(self, sender: Member, leaving: Sequence[str]) -> PeerWord:
+    def receive_heartbeat(self, sender: Member, leaving: Sequence[str]) -> PeerReport:
         """Take in a peer's word and answer with one's own."""
         raise NotImplementedError
 
@@ -89,7 +89,9 @@
         """Draw from the platform for a peer."""
         raise NotImplementedError
 
-    def spare(self, budget: str, receiver: str, already_received: int, need: int, wish: int) -> int:
+    def give_tokens(
+        self, budget: str, receiver: str, already_received: int, need: int, wish: int
+    ) -> int:
         """Hand tokens to a peer; returns the cumulative total."""
         raise NotImplementedError
 
@@ -97,11 +99,11 @@
         """Tell whether a peer may run a request."""
         raise NotImplementedError
 
-    def inherit(self, home: str, entries: list[HandoverEntry]) -> None:
+    def take_over_memory(self, home: str, entries: list[HandoverEntry]) -> None:
         """Take over the memory of a home that stops as planned."""
         raise NotImplementedError
 
-    def join(self, identity: str) -> Iterator[AnswerPart]:
+    def join_answer(self, identity: str) -> Iterator[AnswerPart]:
         """Yield the answer of a request that runs or ran here."""
         raise NotImplementedError
 
--- a/whinrack/routing/_pickers.py
+++ b/whinrack/routing/_pickers.py
@@ -8,7 +8,7 @@
 
 __all__ = ["AffinityPicker", "Picker", "RandomPicker", "TwoChoicesPicker"]
 
-_IMBALANCE = 1.25
+_MAX_LOAD_RATIO = 1.25
 
 
 class Picker:
@@ -72,7 +72,7 @@
     ----------
     fallback : Picker
         Chooses where every preferred target is loaded beyond the bound.
-    imbalance : float
+    max_load_ratio : float
         How many times the mean load a preferred target may have.
 
     References
@@ -80,22 +80,22 @@
     Mirrokni, Thorup and Zadimoghaddam, "Consistent hashing with bounded loads", 2018.
     """
 
-    def __init__(self, fallback: Picker, imbalance: float = _IMBALANCE):
+    def __init__(self, fallback: Picker, max_load_ratio: float = _MAX_LOAD_RATIO):
         self.fallback = fallback
-        self.imbalance = imbalance
+        self.max_load_ratio = max_load_ratio
 
     def pick(self, targets: Sequence[TargetView], key: str, now: float) -> TargetView | None:
         """Return a target, None if there are none to choose from."""
         if not targets:
             return None
-        mean = sum(target.load(now) for target in targets) / len(targets)
-        bound = max(1.0, self.imbalance * mean)
+        mean = sum(target.estimate_load(now) for target in targets) / len(targets)
+        bound = max(1.0, self.max_load_ratio * mean)
         by_name = {target.name: target for target in targets}
         for name in rendezvous(key, by_name)[:2]:
-            if by_name[name].load(now) <= bound:
+            if by_name[name].estimate_load(now) <= bound:
                 return by_name[name]
         return self.fallback.pick(targets, key, now)
 
 
 def _utilisation(target: TargetView, now: float) -> float:
-    return target.load(now) / target.spec.max_concurrency
+    return target.estimate_load(now) / target.spec.max_concurrency
--- a/whinrack/routing/_program.py
+++ b/whinrack/routing/_program.py
@@ -23,10 +23,10 @@
     "default_decision",
 ]
 
-_LONGEST_PROGRAM = 8192
-_MOST_ATTEMPTS = 5
-_LONGEST_WAIT = 3600.0
-_FIELDS = {"pools", "class", "attempts", "wait", "spread", "repeatable"}
+_MAX_PROGRAM_LENGTH = 8192
+_MAX_ATTEMPTS = 5
+_MAX_WAIT_SECONDS = 3600.0
+_DECISION_FIELDS = {"pools", "class", "attempts", "wait", "spread", "repeatable"}
 
 
 class Spread(StrEnum):
@@ -103,8 +103,8 @@
 
     def __init__(self, source: str):
         self.source = source
-        if len(source) > _LONGEST_PROGRAM:
-            raise PolicyFailure(f"allowed are {_LONGEST_PROGRAM} characters, got {len(source)}")
+        if len(source) > _MAX_PROGRAM_LENGTH:
+            raise PolicyFailure(f"allowed are {_MAX_PROGRAM_LENGTH} characters, got {len(source)}")
         try:
             self._program = cel.compile(source)
         except ValueError as error:
@@ -115,12 +115,12 @@
     ) -> Result[RouteDecision, PolicyFailure]:
         """Evaluate the program for one request."""
         facts = {
-            "request": _plain(request),
+            "request": _to_cel_facts(request),
             "pools": {name: msgspec.to_builtins(pool) for name, pool in pools.items()},
         }
         try:
             value = self._program.execute(facts)
-            return Success(_decision(value, request, tuple(pools)))
+            return Success(_parse_decision(value, request, tuple(pools)))
         except PolicyFailure as error:
             return Failure(error)
         # The library raises errors of many types, according to what went wrong.
@@ -133,48 +133,52 @@
     return RouteDecision(pools=tuple(sorted(pools)), request_class=request.request_class)
 
 
-def _plain(request: RequestFacts) -> dict[str, object]:
+def _to_cel_facts(request: RequestFacts) -> dict[str, object]:
     facts = msgspec.to_builtins(request)
     facts["class"] = facts.pop("request_class")
     return facts
 
 
-def _decision(value, request: RequestFacts, serving: tuple[str, ...]) -> RouteDecision:
+def _parse_decision(value, request: RequestFacts, serving: tuple[str, ...]) -> RouteDecision:
     if not isinstance(value, dict):
         raise PolicyFailure(f"the result: allowed is a map, got {type(value).__name__}")
-    unknown = set(value) - _FIELDS
+    unknown = set(value) - _DECISION_FIELDS
     if unknown:
-        raise PolicyFailure(f"the result: allowed are {sorted(_FIELDS)}, got {sorted(unknown)}")
+        raise PolicyFailure(
+            f"the result: allowed are {sorted(_DECISION_FIELDS)}, got {sorted(unknown)}"
+        )
     default = default_decision(request, serving)
-    wanted = value.get("pools", list(default.pools))
-    _require(isinstance(wanted, list), "pools", "a list of names", wanted)
-    pools = tuple(name for name in wanted if name in serving)
-    _require(bool(pools), "pools", f"one or more of {list(serving)}", wanted)
+    requested = value.get("pools", list(default.pools))
+    _require(isinstance(requested, list), "pools", "a list of names", requested)
+    pools = tuple(name for name in requested if name in serving)
+    _require(bool(pools), "pools", f"one or more of {list(serving)}", requested)
     attempts = value.get("attempts", default.attempts)
-    good = isinstance(attempts, int) and 1 <= attempts <= _MOST_ATTEMPTS
-    _require(good, "attempts", f"1 to {_MOST_ATTEMPTS}", attempts)
+    is_valid = isinstance(attempts, int) and 1 <= attempts <= _MAX_ATTEMPTS
+    _require(is_valid, "attempts", f"1 to {_MAX_ATTEMPTS}", attempts)
     wait = value.get("wait", default.wait)
-    good = isinstance(wait, int | float) and math.isfinite(wait) and 0 <= wait <= _LONGEST_WAIT
-    _require(good, "wait", f"0 to {_LONGEST_WAIT:g} s", wait)
+    is_valid = (
+        isinstance(wait, int | float) and math.isfinite(wait) and 0 <= wait <= _MAX_WAIT_SECONDS
+    )
+    _require(is_valid, "wait", f"0 to {_MAX_WAIT_SECONDS:g} s", wait)
     repeatable = value.get("repeatable", True)
     _require(isinstance(repeatable, bool), "repeatable", "true or false", repeatable)
     return RouteDecision(
         repeatable=repeatable,
         pools=pools,
-        request_class=_member(RequestClass, "class", value, default.request_class),
+        request_class=_parse_enum(RequestClass, "class", value, default.request_class),
         attempts=attempts,
         wait=float(wait),
-        spread=_member(Spread, "spread", value, default.spread),
+        spread=_parse_enum(Spread, "spread", value, default.spread),
     )
 
 
-def _member(kind: type[StrEnum], field: str, value: dict, default):
+def _parse_enum(kind: type[StrEnum], field: str, value: dict, default):
     got = value.get(field, default)
     allowed = [str(member) for member in kind]
     _require(got in allowed, field, f"one of {allowed}", got)
     return kind(got)
 
 
-def _require(good: bool, field: str, allowed: str, got: object) -> None:
-    if not good:
+def _require(is_valid: bool, field: str, allowed: str, got: object) -> None:
+    if not is_valid:
         raise PolicyFailure(f"{field}: allowed is {allowed}, got {got!r}")
--- a/whinrack/routing/_queue.py
+++ b/whinrack/routing/_queue.py
@@ -11,9 +11,9 @@
 __all__ = ["PoolQueue", "QueuedRequest"]
 
 _RANK = {RequestClass.ALERT: 0, RequestClass.INTERACTIVE: 1, RequestClass.DEFERRABLE: 2}
-_FIRST_SERVICE_TIME = 0.5
-_LEAST_RETRY_AFTER = 1.0
-_WEIGHT = 0.1
+_INITIAL_SERVICE_TIME = 0.5
+_MIN_RETRY_AFTER = 1.0
+_SERVICE_TIME_WEIGHT = 0.1
 _URGENT_SERVICE_TIMES = 4.0
 
 
@@ -32,7 +32,7 @@
     deadline: float
     wake: Callable[[], None]
     refusal: Refusal | None = None
-    number: int = 0
+    sequence: int = 0
 
 
 class PoolQueue:
@@ -50,15 +50,15 @@
 
     def __init__(self, limit: int):
         self.limit = limit
-        self.service_time = _FIRST_SERVICE_TIME
-        self._waiters: list[QueuedRequest] = []
-        self._count = 0
+        self.service_time = _INITIAL_SERVICE_TIME
+        self._requests: list[QueuedRequest] = []
+        self._last_sequence = 0
 
     def __len__(self) -> int:
-        return len(self._waiters)
+        return len(self._requests)
 
     def enqueue(
-        self, waiter: QueuedRequest, slots: int, now: float
+        self, request: QueuedRequest, slots: int, now: float
     ) -> Result[QueuedRequest, Refusal]:
         """Queue a request, or refuse it at once if it can't be met.
 
@@ -67,67 +67,67 @@
         slots : int
             Requests that the pool's targets can run at once.
         """
-        ahead = sum(1 for other in self._waiters if self._rank(other, now) <= _class_rank(waiter))
+        ahead = sum(1 for other in self._requests if self._rank(other, now) <= _class_rank(request))
         expected = self.expected_wait(ahead, slots)
-        if now + expected > waiter.deadline:
+        if now + expected > request.deadline:
             return Failure(
                 DeadlineUnreachable(
                     f"{ahead} requests are ahead, about {expected:.1f} s of waiting",
-                    retry_after=max(_LEAST_RETRY_AFTER, expected),
+                    retry_after=max(_MIN_RETRY_AFTER, expected),
                 )
             )
-        if len(self._waiters) >= self.limit and not self._make_room(waiter, slots, now):
+        if len(self._requests) >= self.limit and not self._displace_last(request, slots, now):
             return Failure(
                 QueueFull(
-                    f"{len(self._waiters)} requests are waiting",
-                    retry_after=max(_LEAST_RETRY_AFTER, self.expected_wait(ahead, slots)),
+                    f"{len(self._requests)} requests are waiting",
+                    retry_after=max(_MIN_RETRY_AFTER, self.expected_wait(ahead, slots)),
                 )
             )
-        self._count += 1
-        waiter.number = self._count
-        self._waiters.append(waiter)
-        return Success(waiter)
+        self._last_sequence += 1
+        request.sequence = self._last_sequence
+        self._requests.append(request)
+        return Success(request)
 
-    def remove(self, waiter: QueuedRequest) -> None:
+    def remove(self, request: QueuedRequest) -> None:
         """Take a request out of the queue; does nothing if it isn't in it."""
-        if waiter in self._waiters:
-            self._waiters.remove(waiter)
+        if request in self._requests:
+            self._requests.remove(request)
 
     def peek(self, now: float) -> QueuedRequest | None:
         """Return who is served next."""
-        return min(self._waiters, key=lambda waiter: self._order(waiter, now), default=None)
+        return min(self._requests, key=lambda request: self._sort_key(request, now), default=None)
 
-    def record_service(self, seconds: float) -> None:
+    def record_service_time(self, seconds: float) -> None:
         """Learn how long a request takes a slot."""
-        self.service_time += _WEIGHT * (seconds - self.service_time)
+        self.service_time += _SERVICE_TIME_WEIGHT * (seconds - self.service_time)
 
     def expected_wait(self, ahead: int, slots: int) -> float:
         """Estimate the seconds until a request with `ahead` before it is started."""
         return (ahead + 1) * self.service_time / max(1, slots)
 
-    def _make_room(self, newcomer: QueuedRequest, slots: int, now: float) -> bool:
+    def _displace_last(self, new_request: QueuedRequest, slots: int, now: float) -> bool:
         """Refuse the last deferrable request in favour of a more urgent one."""
-        last = max(self._waiters, key=lambda waiter: self._order(waiter, now))
-        if self._rank(last, now) <= _class_rank(newcomer):
+        last = max(self._requests, key=lambda request: self._sort_key(request, now))
+        if self._rank(last, now) <= _class_rank(new_request):
             return False
-        self._waiters.remove(last)
-        wait = self.expected_wait(len(self._waiters), slots)
+        self._requests.remove(last)
+        wait = self.expected_wait(len(self._requests), slots)
         last.refusal = QueueFull(
-            "gave way to more urgent work", retry_after=max(_LEAST_RETRY_AFTER, wait)
+            "gave way to more urgent work", retry_after=max(_MIN_RETRY_AFTER, wait)
         )
         last.wake()
         return True
 
-    def _order(self, waiter: QueuedRequest, now: float) -> tuple:
-        return (self._rank(waiter, now), waiter.deadline, waiter.number)
+    def _sort_key(self, request: QueuedRequest, now: float) -> tuple:
+        return (self._rank(request, now), request.deadline, request.sequence)
 
-    def _rank(self, waiter: QueuedRequest, now: float) -> int:
-        rank = _class_rank(waiter)
-        urgent = waiter.deadline - now < _URGENT_SERVICE_TIMES * self.service_time
+    def _rank(self, request: QueuedRequest, now: float) -> int:
+        rank = _class_rank(request)
+        urgent = request.deadline - now < _URGENT_SERVICE_TIMES * self.service_time
         if rank == _RANK[RequestClass.DEFERRABLE] and urgent:
             return _RANK[RequestClass.INTERACTIVE]
         return rank
 
 
-def _class_rank(waiter: QueuedRequest) -> int:
-    return _RANK[waiter.request_class]
+def _class_rank(request: QueuedRequest) -> int:
+    return _RANK[request.request_class]
--- a/whinrack/routing/_retries.py
+++ b/whinrack/routing/_retries.py
@@ -8,32 +8,32 @@
 
     Parameters
     ----------
-    share : float
+    ratio : float
         Retries for each request.
-    reserve : float
+    max_permits : float
         Retries that are permitted before any traffic, and saved up at most.
 
     Examples
     --------
-    >>> budget = RetryBudget(share=0.5, reserve=1.0)
-    >>> budget.try_retry(), budget.try_retry()
+    >>> budget = RetryBudget(ratio=0.5, max_permits=1.0)
+    >>> budget.try_acquire(), budget.try_acquire()
     (True, False)
-    >>> budget.record_request(); budget.record_request(); budget.try_retry()
+    >>> budget.record_request(); budget.record_request(); budget.try_acquire()
     True
     """
 
-    def __init__(self, share: float = 0.1, reserve: float = 10.0):
-        self.share = share
-        self.reserve = reserve
-        self._saved = reserve
+    def __init__(self, ratio: float = 0.1, max_permits: float = 10.0):
+        self.ratio = ratio
+        self.max_permits = max_permits
+        self._permits = max_permits
 
     def record_request(self) -> None:
         """Count a first attempt."""
-        self._saved = min(self.reserve, self._saved + self.share)
+        self._permits = min(self.max_permits, self._permits + self.ratio)
 
-    def try_retry(self) -> bool:
+    def try_acquire(self) -> bool:
         """Take a permit for one retry, if there is one."""
-        if self._saved < 1.0:
+        if self._permits < 1.0:
             return False
-        self._saved -= 1.0
+        self._permits -= 1.0
         return True
--- a/whinrack/routing/_targets.py
+++ b/whinrack/routing/_targets.py
@@ -9,9 +9,9 @@
 __all__ = ["LoadReport", "TargetView"]
 
 _REPORT_HALF_LIFE = 2.0
-_LEAST_LIMIT = 1.0
-_DECREASE = 0.7
-_INCREASE = 1.0
+_MIN_CONCURRENCY_LIMIT = 1.0
+_DECREASE_FACTOR = 0.7
+_INCREASE_STEP = 1.0
 
 
 class LoadReport(msgspec.Struct, frozen=True):
@@ -21,16 +21,16 @@
     ----------
     running, waiting : int
         Requests at the target.
-    at : float
+    received_at : float
         Clock time here at which the report arrived.
-    own : int
+    own_in_flight : int
         Requests of this instance that were in flight then.
     """
 
     running: int
     waiting: int
-    at: float
-    own: int
+    received_at: float
+    own_in_flight: int
 
 
 class TargetView:
@@ -55,14 +55,14 @@
         self.concurrency_limit = float(spec.max_concurrency)
         self.report: LoadReport | None = None
         self.is_instance_leaving = False
-        self.reports_leaving = False
+        self.has_reported_leaving = False
         self.backoff_until = float("-inf")
 
     @property
-    def leaving(self) -> bool:
+    def is_leaving(self) -> bool:
         """Whether any source says that the target is leaving."""
         declared = self.spec.state is TargetState.LEAVING
-        return declared or self.is_instance_leaving or self.reports_leaving
+        return declared or self.is_instance_leaving or self.has_reported_leaving
 
     def update(self, spec: Target) -> None:
         """Take in a newer declaration."""
@@ -70,11 +70,13 @@
             self.concurrency_limit = float(spec.max_concurrency)
         self.spec = spec
 
-    def takes_work(self, now: float) -> bool:
+    def accepts_work(self, now: float) -> bool:
         """Whether new work may go to the target at all."""
-        return not self.leaving and now >= self.backoff_until and not self.ejection.is_ejected(now)
+        return (
+            not self.is_leaving and now >= self.backoff_until and not self.ejection.is_ejected(now)
+        )
 
-    def load(self, now: float) -> float:
+    def estimate_load(self, now: float) -> float:
         """Estimate the requests at the target, from all instances.
 
         Own requests in flight count at once. What others had there when the report
@@ -82,13 +84,15 @@
         """
         if self.report is None:
             return float(self.in_flight)
-        age = max(0.0, now - self.report.at)
-        others = max(0, self.report.running + self.report.waiting - self.report.own)
-        return self.in_flight + others * 0.5 ** (age / _REPORT_HALF_LIFE)
+        age = max(0.0, now - self.report.received_at)
+        foreign_requests = max(
+            0, self.report.running + self.report.waiting - self.report.own_in_flight
+        )
+        return self.in_flight + foreign_requests * 0.5 ** (age / _REPORT_HALF_LIFE)
 
     def has_room(self, now: float) -> bool:
         """Whether one more request fits under the limit."""
-        return self.takes_work(now) and self.load(now) < self.concurrency_limit
+        return self.accepts_work(now) and self.estimate_load(now) < self.concurrency_limit
 
     def begin_request(self) -> None:
         """Count a request that is sent to the target."""
@@ -101,19 +105,20 @@
     def record_success(self, now: float) -> None:
         """Learn from an answer."""
         self.ejection.record_success(now)
-        most = float(self.spec.max_concurrency)
+        max_limit = float(self.spec.max_concurrency)
         self.concurrency_limit = min(
-            most, self.concurrency_limit + _INCREASE / self.concurrency_limit
+            max_limit, self.concurrency_limit + _INCREASE_STEP / self.concurrency_limit
         )
 
-    def back_off(self, seconds: float, now: float) -> None:
+    def start_backoff(self, seconds: float, now: float) -> None:
         """Learn that the target takes nothing from this instance for a while."""
         self.backoff_until = max(self.backoff_until, now + min(seconds, LONGEST_BACKOFF_SECONDS))
 
     def record_overload(self) -> None:
         """Learn from the target's word that it is busy."""
         self.concurrency_limit = max(
-            _LEAST_LIMIT, min(self.concurrency_limit, self.in_flight + 1.0) * _DECREASE
+            _MIN_CONCURRENCY_LIMIT,
+            min(self.concurrency_limit, self.in_flight + 1.0) * _DECREASE_FACTOR,
         )
 
     def record_failure(self, now: float) -> None:
--- a/whinrack/routing/tests/test_routing.py
+++ b/whinrack/routing/tests/test_routing.py
@@ -28,19 +28,19 @@
 INTERACTIVE = PickQuery(request_class=RequestClass.INTERACTIVE)
 
 
-def view(name, limit=4, state=TargetState.ACTIVE):
+def make_target(name, limit=4, state=TargetState.ACTIVE):
     spec = Target(pool="p", address="127.0.0.1:1", max_concurrency=limit, state=state)
     return TargetView(name, spec, LocalEjection(failure_threshold=2))
 
 
-def pool(count=2, limit=4):
+def make_pool(count=2, limit=4):
     state = PoolState("p", TargetPool(models=("m",)), seed=1)
     for index in range(count):
-        state.add(view(f"t{index}", limit))
+        state.add(make_target(f"t{index}", limit))
     return state
 
 
-def waiter(request_class=RequestClass.INTERACTIVE, deadline=100.0):
+def make_request(request_class=RequestClass.INTERACTIVE, deadline=100.0):
     return QueuedRequest(request_class, deadline, lambda: None)
 
 
@@ -87,33 +87,33 @@
 
 
 def test_own_requests_count_at_once_and_old_reports_fade():
-    target = view("t")
-    target.report = LoadReport(running=4, waiting=0, at=0.0, own=0)
+    target = make_target("t")
+    target.report = LoadReport(running=4, waiting=0, received_at=0.0, own_in_flight=0)
     target.begin_request()
-    assert target.load(0.0) == 5.0
-    assert target.load(2.0) == 3.0
+    assert target.estimate_load(0.0) == 5.0
+    assert target.estimate_load(2.0) == 3.0
 
 
 def test_a_leaving_target_takes_nothing_whoever_says_so():
-    declared = view("t", state=TargetState.LEAVING)
-    listed = view("u")
+    declared = make_target("t", state=TargetState.LEAVING)
+    listed = make_target("u")
     listed.is_instance_leaving = True
-    assert not declared.takes_work(0.0)
-    assert not listed.takes_work(0.0)
+    assert not declared.accepts_work(0.0)
+    assert not listed.accepts_work(0.0)
 
 
 def test_a_target_takes_nothing_in_a_back_off_and_the_longest_counts():
-    target = view("t")
-    target.back_off(3.0, now=10.0)
-    target.back_off(1.0, now=11.0)
-    assert not target.takes_work(12.9)
-    assert target.takes_work(13.0)
-    target.back_off(1e12, now=20.0)
-    assert target.takes_work(20.0 + 3600.0)
+    target = make_target("t")
+    target.start_backoff(3.0, now=10.0)
+    target.start_backoff(1.0, now=11.0)
+    assert not target.accepts_work(12.9)
+    assert target.accepts_work(13.0)
+    target.start_backoff(1e12, now=20.0)
+    assert target.accepts_work(20.0 + 3600.0)
 
 
 def test_limit_falls_when_the_target_is_busy_and_recovers():
-    target = view("t", limit=8)
+    target = make_target("t", limit=8)
     for _ in range(4):
         target.begin_request()
     target.record_overload()
@@ -127,7 +127,7 @@
     "picker", [RandomPicker(1), TwoChoicesPicker(1), AffinityPicker(RandomPicker(1))]
 )
 def test_every_picker_takes_one_of_the_given_or_none(picker):
-    targets = [view("a"), view("b")]
+    targets = [make_target("a"), make_target("b")]
     assert picker.pick(targets, "key", 0.0) in targets
     assert picker.pick([], "key", 0.0) is None
 
@@ -135,7 +135,7 @@
 def test_two_choices_even_out_the_load_better_than_chance():
     spreads = {}
     for picker in (RandomPicker(1), TwoChoicesPicker(1)):
-        targets = [view(f"t{index}", limit=100) for index in range(10)]
+        targets = [make_target(f"t{index}", limit=100) for index in range(10)]
         for _ in range(500):
             picker.pick(targets, "", 0.0).begin_request()
         loads = [target.in_flight for target in targets]
@@ -144,7 +144,7 @@
 
 
 def test_affinity_stays_until_the_load_is_out_of_balance():
-    targets = [view(f"t{index}", limit=100) for index in range(5)]
+    targets = [make_target(f"t{index}", limit=100) for index in range(5)]
     picker = AffinityPicker(TwoChoicesPicker(1))
     first = picker.pick(targets, "prefix", 0.0)
     assert picker.pick(targets, "prefix", 0.0) is first
@@ -179,12 +179,12 @@
 
 def test_order_is_by_class_then_deadline_and_what_can_wait_still_finishes():
     queue = PoolQueue(limit=10)
-    late = waiter(RequestClass.DEFERRABLE, deadline=100.0)
-    soon = waiter(RequestClass.INTERACTIVE, deadline=50.0)
-    later = waiter(RequestClass.INTERACTIVE, deadline=60.0)
-    alert = waiter(RequestClass.ALERT, deadline=90.0)
-    for one in (late, later, soon, alert):
-        queue.enqueue(one, slots=4, now=0.0)
+    late = make_request(RequestClass.DEFERRABLE, deadline=100.0)
+    soon = make_request(RequestClass.INTERACTIVE, deadline=50.0)
+    later = make_request(RequestClass.INTERACTIVE, deadline=60.0)
+    alert = make_request(RequestClass.ALERT, deadline=90.0)
+    for request in (late, later, soon, alert):
+        queue.enqueue(request, slots=4, now=0.0)
     order = []
     while len(queue):
         first = queue.peek(0.0)
@@ -192,7 +192,7 @@
         queue.remove(first)
     assert order == [alert, soon, later, late]
     queue.enqueue(late, slots=4, now=0.0)
-    queue.enqueue(waiter(deadline=150.0), slots=4, now=99.0)
+    queue.enqueue(make_request(deadline=150.0), slots=4, now=99.0)
     assert queue.peek(99.0) is late
 
 
@@ -200,8 +200,8 @@
     queue = PoolQueue(limit=100)
     queue.service_time = 2.0
     for _ in range(5):
-        assert isinstance(queue.enqueue(waiter(), slots=1, now=0.0), Success)
-    refusal = queue.enqueue(waiter(deadline=5.0), slots=1, now=0.0).failure()
+        assert isinstance(queue.enqueue(make_request(), slots=1, now=0.0), Success)
+    refusal = queue.enqueue(make_request(deadline=5.0), slots=1, now=0.0).failure()
     assert isinstance(refusal, DeadlineUnreachable)
     assert refusal.retry_after == pytest.approx(12.0)
 
@@ -210,10 +210,12 @@
     queue = PoolQueue(limit=2)
     woken = []
     last = QueuedRequest(RequestClass.DEFERRABLE, 100.0, lambda: woken.append(1))
-    queue.enqueue(waiter(RequestClass.DEFERRABLE, 90.0), slots=8, now=0.0)
+    queue.enqueue(make_request(RequestClass.DEFERRABLE, 90.0), slots=8, now=0.0)
     queue.enqueue(last, slots=8, now=0.0)
-    assert isinstance(queue.enqueue(waiter(RequestClass.DEFERRABLE), slots=8, now=0.0), Failure)
-    assert isinstance(queue.enqueue(waiter(), slots=8, now=0.0), Success)
+    assert isinstance(
+        queue.enqueue(make_request(RequestClass.DEFERRABLE), slots=8, now=0.0), Failure
+    )
+    assert isinstance(queue.enqueue(make_request(), slots=8, now=0.0), Success)
     assert isinstance(last.refusal, QueueFull)
     assert woken == [1]
 
@@ -222,7 +224,7 @@
 
 
 def test_deferrable_work_leaves_room_for_interactive_work():
-    state = pool(count=2, limit=4)
+    state = make_pool(count=2, limit=4)
     deferrable = PickQuery(request_class=RequestClass.DEFERRABLE)
     placed = 0
     while state.pick(deferrable, 0.0) is not None:
@@ -232,12 +234,12 @@
 
 
 def test_another_attempt_avoids_where_the_last_one_failed():
-    state = pool(count=2)
-    query = PickQuery(request_class=RequestClass.INTERACTIVE, avoid=("t0",))
+    state = make_pool(count=2)
+    query = PickQuery(request_class=RequestClass.INTERACTIVE, avoided_targets=("t0",))
     assert {state.pick(query, 0.0).name for _ in range(4)} == {"t1"}
 
 
 def test_facts_do_not_grow_with_the_targets():
-    small, large = pool(2).facts(0.0), pool(200).facts(0.0)
+    small, large = make_pool(2).facts(0.0), make_pool(200).facts(0.0)
     assert type(small) is type(large)
     assert large.targets == 200
--- a/whinrack/server/_admission.py
+++ b/whinrack/server/_admission.py
@@ -21,7 +21,7 @@
 
 __all__ = ["PoolDirectory", "Slot"]
 
-_RETRY_AFTER_NO_TARGET = 2.0
+_NO_TARGET_RETRY_AFTER = 2.0
 
 
 class Slot:
@@ -31,17 +31,17 @@
         self.directory = directory
         self.pool = pool
         self.target = target
-        self.started = steady()
-        self.released = False
+        self.started_at = steady()
+        self.is_released = False
 
     def release(self) -> None:
         """Give the place back; only the first call counts."""
-        if self.released:
+        if self.is_released:
             return
-        self.released = True
+        self.is_released = True
         self.target.end_request()
-        self.pool.queue.record_service(steady() - self.started)
-        self.directory.wake(self.pool)
+        self.pool.queue.record_service_time(steady() - self.started_at)
+        self.directory.wake_first(self.pool)
 
 
 class PoolDirectory:
@@ -64,7 +64,7 @@
         self._pools: dict[str, PoolState] = {}
         self._leaving_instances: set[str] = set()
 
-    def rebuild(self) -> None:
+    def apply_config(self) -> None:
         """Follow the declarations in force."""
         specs = self.config.specs_of_kind(TargetPool)
         for name in set(self._pools) - set(specs):
@@ -77,7 +77,7 @@
                 pool.update(spec)
         self._rebuild_targets()
 
-    def set_leaving(self, instances: set[str]) -> None:
+    def set_leaving_instances(self, instances: set[str]) -> None:
         """Take in which instances leave, from the list and from peers."""
         if instances == self._leaving_instances:
             return
@@ -92,7 +92,7 @@
         """Return all targets."""
         return [target for pool in self._pools.values() for target in pool.targets.values()]
 
-    def serving(self, model: str) -> dict[str, PoolState]:
+    def pools_serving(self, model: str) -> dict[str, PoolState]:
         """Return the chat pools that serve a model."""
         return {
             name: pool
@@ -107,30 +107,34 @@
         pools = [self._pools[name] for name in decision.pools if name in self._pools]
         now = steady()
         for pool in pools:
-            if not self._others_first(pool, query, now):
+            if not self._must_queue(pool, query, now):
                 target = pool.pick(query, now)
                 if target is not None:
                     return Success(Slot(self, pool, target))
-        alive = [pool for pool in pools if pool.alive(now)]
-        if not alive:
-            waits = [left for pool in pools if (left := pool.backoff_left(now)) is not None]
+        available = [pool for pool in pools if pool.has_available_target(now)]
+        if not available:
+            waits = [
+                seconds_left
+                for pool in pools
+                if (seconds_left := pool.shortest_backoff(now)) is not None
+            ]
             return Failure(
                 TargetUnavailable(
                     "no target of the allowed pools takes work",
-                    retry_after=min(waits, default=_RETRY_AFTER_NO_TARGET),
+                    retry_after=min(waits, default=_NO_TARGET_RETRY_AFTER),
                 )
             )
-        return self._wait(alive[0], query, min(deadline, now + decision.wait), now)
+        return self._wait_in_queue(available[0], query, min(deadline, now + decision.wait), now)
 
-    def report(self, target: TargetView, load: EngineLoad) -> None:
+    def record_load(self, target: TargetView, load: EngineLoad) -> None:
         """Take in a load report."""
-        was_leaving = target.leaving
-        target.reports_leaving = load.leaving
+        was_leaving = target.is_leaving
+        target.has_reported_leaving = load.leaving
         target.report = LoadReport(load.running, load.waiting, steady(), target.in_flight)
-        if target.leaving and not was_leaving:
+        if target.is_leaving and not was_leaving:
             log_event(Event.TARGET_LEAVING, target=target.name, source="report")
 
-    def failed(self, target: TargetView) -> None:
+    def record_failure(self, target: TargetView) -> None:
         """Take in a connection that failed or broke."""
         now = steady()
         before = target.ejection.is_ejected(now)
@@ -139,51 +143,51 @@
             self.metrics.ejections.inc()
             log_event(Event.TARGET_EJECTED, target=target.name)
 
-    def wake(self, pool: PoolState) -> None:
+    def wake_first(self, pool: PoolState) -> None:
         """Let the first waiter of a pool try."""
-        waiter = pool.queue.peek(steady())
-        if waiter is not None:
-            waiter.wake()
+        queued = pool.queue.peek(steady())
+        if queued is not None:
+            queued.wake()
 
     def wake_all(self) -> None:
         """Let the first waiter of each pool try: limits and reports may have changed."""
         for pool in self._pools.values():
-            self.wake(pool)
+            self.wake_first(pool)
 
-    def _wait(self, pool: PoolState, query: PickQuery, deadline: float, now: float):
+    def _wait_in_queue(self, pool: PoolState, query: PickQuery, deadline: float, now: float):
         semaphore = Semaphore(0)
-        waiter = QueuedRequest(query.request_class, deadline, semaphore.release)
-        joined = pool.queue.enqueue(waiter, pool.slots(now), now)
+        queued = QueuedRequest(query.request_class, deadline, semaphore.release)
+        joined = pool.queue.enqueue(queued, pool.slots(now), now)
         if isinstance(joined, Failure):
             return joined
         try:
-            return self._wait_turn(pool, query, waiter, semaphore)
+            return self._wait_for_slot(pool, query, queued, semaphore)
         finally:
-            pool.queue.remove(waiter)
+            pool.queue.remove(queued)
             self.metrics.queue_wait.labels(str(query.request_class)).observe(steady() - now)
 
-    def _wait_turn(self, pool, query, waiter, semaphore) -> Result[Slot, Refusal]:
+    def _wait_for_slot(self, pool, query, queued, semaphore) -> Result[Slot, Refusal]:
         while True:
             now = steady()
-            left = waiter.deadline - now
-            if waiter.refusal is not None:
-                return Failure(waiter.refusal)
-            if left <= 0:
+            seconds_left = queued.deadline - now
+            if queued.refusal is not None:
+                return Failure(queued.refusal)
+            if seconds_left <= 0:
                 wait = pool.queue.expected_wait(len(pool.queue), pool.slots(now))
                 return Failure(
                     DeadlineUnreachable("waited as long as allowed", retry_after=max(1.0, wait))
                 )
-            if not semaphore.acquire(timeout=left):
+            if not semaphore.acquire(timeout=seconds_left):
                 continue
-            if waiter.refusal is not None:
-                return Failure(waiter.refusal)
+            if queued.refusal is not None:
+                return Failure(queued.refusal)
             target = pool.pick(query, steady())
             if target is not None:
-                pool.queue.remove(waiter)
-                self.wake(pool)
+                pool.queue.remove(queued)
+                self.wake_first(pool)
                 return Success(Slot(self, pool, target))
 
-    def _others_first(self, pool: PoolState, query: PickQuery, now: float) -> bool:
+    def _must_queue(self, pool: PoolState, query: PickQuery, now: float) -> bool:
         first = pool.queue.peek(now)
         if first is None:
             return False
@@ -198,15 +202,15 @@
                     pool.remove(name)
         for name, spec in specs.items():
             if spec.pool in self._pools:
-                self._place(self._pools[spec.pool], name, spec)
+                self._update_target(self._pools[spec.pool], name, spec)
 
-    def _place(self, pool: PoolState, name: str, spec: Target) -> None:
+    def _update_target(self, pool: PoolState, name: str, spec: Target) -> None:
         target = pool.targets.get(name)
         if target is None:
             target = TargetView(name, spec, LocalEjection())
             pool.add(target)
-        was_leaving = target.leaving
+        was_leaving = target.is_leaving
         target.update(spec)
         target.is_instance_leaving = spec.instance in self._leaving_instances
-        if target.leaving and not was_leaving:
+        if target.is_leaving and not was_leaving:
             log_event(Event.TARGET_LEAVING, target=name)
--- a/whinrack/server/_answers.py
+++ b/whinrack/server/_answers.py
@@ -9,12 +9,12 @@
 from whinrack.exceptions import AnswerNotKept, PeerUnavailable
 from whinrack.peers import AnswerPart
 
-__all__ = ["AnswerShelf", "RunningAnswer"]
+__all__ = ["AnswerCache", "SharedAnswer"]
 
-_SILENCE = 300.0
+_IDLE_TIMEOUT = 300.0
 
 
-class RunningAnswer:
+class SharedAnswer:
     """One answer, filled by whoever runs the request, read by any number of retries.
 
     Parameters
@@ -29,10 +29,10 @@
         self.status = 0
         self.headers: tuple[tuple[str, str], ...] = ()
         self.size = 0
-        self.finished = False
-        self.whole = False
-        self.kept = True
-        self.readers = 0
+        self.is_finished = False
+        self.is_complete = False
+        self.is_kept = True
+        self.reader_count = 0
         self._chunks: list[bytes] = []
         self._changed = Event()
 
@@ -44,25 +44,25 @@
 
     def append(self, data: bytes) -> None:
         """Add a piece of the body; does nothing once the body was forgotten."""
-        if not self.kept:
+        if not self.is_kept:
             return
         self.size += len(data)
         if self.size > self.limit:
-            self.drop()
+            self.discard_body()
             return
         self._chunks.append(data)
-        if self.readers:
+        if self.reader_count:
             self._notify()
 
-    def finish(self, whole: bool) -> None:
+    def finish(self, is_complete: bool) -> None:
         """End the answer."""
-        self.finished = True
-        self.whole = whole
+        self.is_finished = True
+        self.is_complete = is_complete
         self._notify()
 
-    def drop(self) -> None:
+    def discard_body(self) -> None:
         """Forget the body."""
-        self.kept = False
+        self.is_kept = False
         self._chunks.clear()
         self._notify()
 
@@ -76,17 +76,17 @@
         PeerUnavailable
             If the answer ends without being whole.
         """
-        self.readers += 1
+        self.reader_count += 1
         try:
             yield from self._read()
         finally:
-            self.readers -= 1
+            self.reader_count -= 1
 
     def _read(self) -> Iterator[AnswerPart]:
         position = 0
         started = False
         while True:
-            if not self.kept:
+            if not self.is_kept:
                 raise AnswerNotKept("the request ran; its answer is too long or too old to keep")
             if self.status and not started:
                 started = True
@@ -95,16 +95,16 @@
             position += len(fresh)
             if fresh:
                 yield AnswerPart(body=b"".join(fresh))
-            elif self.finished:
+            elif self.is_finished:
                 break
             else:
                 self._wait()
-        if not self.whole:
+        if not self.is_complete:
             raise PeerUnavailable("the answer was cut")
-        yield AnswerPart(whole=True)
+        yield AnswerPart(is_final=True)
 
     def _wait(self) -> None:
-        with Timeout(_SILENCE, PeerUnavailable("the answer fell silent")):
+        with Timeout(_IDLE_TIMEOUT, PeerUnavailable("the answer fell silent")):
             self._changed.wait()
 
     def _notify(self) -> None:
@@ -112,7 +112,7 @@
         event.send(None)
 
 
-class AnswerShelf:
+class AnswerCache:
     """Bounds the memory of all kept answers together; the oldest go first.
 
     Parameters
@@ -123,14 +123,14 @@
 
     def __init__(self, limit: int):
         self.limit = limit
-        self._finished: OrderedDict[int, RunningAnswer] = OrderedDict()
+        self._finished: OrderedDict[int, SharedAnswer] = OrderedDict()
         self._size = 0
 
-    def add(self, answer: RunningAnswer) -> None:
+    def add(self, answer: SharedAnswer) -> None:
         """Count a finished answer, and drop older ones beyond the limit."""
         self._finished[id(answer)] = answer
         self._size += answer.size
         while self._size > self.limit and self._finished:
             _, oldest = self._finished.popitem(last=False)
             self._size -= oldest.size
-            oldest.drop()
+            oldest.discard_body()
--- a/whinrack/server/_app.py
+++ b/whinrack/server/_app.py
@@ -58,10 +58,10 @@
     def _answer(self, request: HttpRequest) -> HttpAnswer:
         identity = None
         try:
-            operation = self._operation(request)
+            operation = self._answer_operation(request)
             if operation is not None:
                 return operation
-            if self.context.state.closed:
+            if self.context.state.is_closed:
                 raise TargetUnavailable("this instance has stopped", retry_after=1.0)
             endpoint = self._endpoint(request)
             caller = self._authenticator.identify(request)
@@ -79,7 +79,7 @@
             request_id = identity.request_id if identity else new_request_id()
             return error_answer(InternalFailure("whinrack failed"), request_id)
 
-    def _operation(self, request: HttpRequest) -> HttpAnswer | None:
+    def _answer_operation(self, request: HttpRequest) -> HttpAnswer | None:
         if request.method != "GET":
             return None
         match request.path:
@@ -114,16 +114,16 @@
     def __init__(self, context: ServerContext, answer: HttpAnswer):
         self.context = context
         self.answer = answer
-        self._open = True
+        self._is_open = True
 
     def __iter__(self) -> Iterator[bytes]:
         return iter(self.answer.body)
 
     def close(self) -> None:
         """Close the answer's body; the server calls this in every case."""
-        if not self._open:
+        if not self._is_open:
             return
-        self._open = False
+        self._is_open = False
         self.context.state.in_progress -= 1
         close = getattr(self.answer.body, "close", None)
         if close is not None:
--- a/whinrack/server/_auth.py
+++ b/whinrack/server/_auth.py
@@ -9,7 +9,7 @@
 
 __all__ = ["Authenticator", "Caller"]
 
-_BEARER = "bearer "
+_BEARER_PREFIX = "bearer "
 
 
 class Caller(msgspec.Struct, frozen=True):
@@ -44,9 +44,9 @@
             For a key whose workspace or budget isn't declared any more.
         """
         text = request.header("Authorization")
-        if not text.lower().startswith(_BEARER):
+        if not text.lower().startswith(_BEARER_PREFIX):
             raise Unauthorized("a bearer key is needed")
-        bearer = text[len(_BEARER) :].strip()
+        bearer = text[len(_BEARER_PREFIX) :].strip()
         name = key_name(bearer)
         key = self.config.get(ApiKey, name) if name else None
         if key is None or not verify_key(bearer, key):
--- a/whinrack/server/_bills.py
+++ b/whinrack/server/_bills.py
@@ -9,8 +9,8 @@
 
 __all__ = ["BillKeeper"]
 
-_RETRY_PAUSE = 0.2
-_BURST = 5.0
+_RETRY_SECONDS = 0.2
+_COMMIT_BURST = 5.0
 
 
 class BillKeeper:
@@ -28,18 +28,18 @@
     def __init__(self, writer: JournalWriter, interval: float):
         self.writer = writer
         self.interval = interval
-        self._pace = TokenBucket(rate=1.0 / interval, burst=_BURST)
-        self._failing = False
-        self._wanted = Event()
+        self._commit_rate = TokenBucket(rate=1.0 / interval, burst=_COMMIT_BURST)
+        self._is_failing = False
+        self._commit_requested = Event()
         self._committed = Event()
 
     def add(self, record: BillRecord) -> int:
         """Queue a bill; returns the mark to wait for."""
         mark = self.writer.add(record)
-        self._want_commit()
+        self._request_commit()
         return mark
 
-    def wait_kept(self, mark: int, seconds: float) -> bool:
+    def wait_committed(self, mark: int, seconds: float) -> bool:
         """Wait until a bill is kept; False if it isn't after some seconds.
 
         While commits fail, nobody is kept waiting for them.
@@ -47,7 +47,7 @@
         end = steady() + seconds
         while self.writer.committed_count < mark:
             left = end - steady()
-            if left <= 0 or self._failing:
+            if left <= 0 or self._is_failing:
                 return False
             with eventlet.Timeout(left, False):
                 self._committed.wait()
@@ -56,21 +56,21 @@
     def run(self) -> None:
         """Commit whenever there is something, for ever."""
         while True:
-            self._wanted.wait()
-            self._wanted = Event()
-            eventlet.sleep(self._pace.reserve(steady()))
+            self._commit_requested.wait()
+            self._commit_requested = Event()
+            eventlet.sleep(self._commit_rate.reserve(steady()))
             if not self.flush():
-                eventlet.sleep(_RETRY_PAUSE)
-                self._want_commit()
+                eventlet.sleep(_RETRY_SECONDS)
+                self._request_commit()
 
     def flush(self) -> bool:
         """Commit what is queued now."""
         done = self.writer.commit()
-        self._failing = not done
+        self._is_failing = not done
         event, self._committed = self._committed, Event()
         event.send(None)
         return done
 
-    def _want_commit(self) -> None:
-        if not self._wanted.ready():
-            self._wanted.send(None)
+    def _request_commit(self) -> None:
+        if not self._commit_requested.ready():
+            self._commit_requested.send(None)
--- a/whinrack/server/_call.py
+++ b/whinrack/server/_call.py
@@ -6,7 +6,7 @@
 from whinrack.requests import RequestIdentity, Ticket, body_digest, decode_ticket
 from whinrack.routing import RouteDecision
 from whinrack.server._admission import Slot
-from whinrack.server._answers import RunningAnswer
+from whinrack.server._answers import SharedAnswer
 from whinrack.server._auth import Caller
 from whinrack.server._http import CLASS_HEADER, TICKET_HEADER, HttpRequest
 
@@ -29,9 +29,9 @@
 
 def deadline_of(request: HttpRequest, pool: TargetPool) -> float:
     """Return the clock time by which a request must have ended."""
-    seconds = request.deadline()
+    seconds = request.read_deadline()
     limit = pool.request_timeout
-    return request.arrived + (limit if seconds is None else min(seconds, limit))
+    return request.arrived_at + (limit if seconds is None else min(seconds, limit))
 
 
 class Call:
@@ -51,7 +51,7 @@
         What must be the same each time a key is used.
     deadline : float
         Clock time by which it must have ended.
-    repeatable : bool
+    is_repeatable : bool
         Whether it may run again after a try that may have run.
     affinity_key : str
         For the pickers.
@@ -67,7 +67,7 @@
         body: bytes,
         digest_parts: tuple[bytes, ...],
         deadline: float,
-        repeatable: bool,
+        is_repeatable: bool,
         affinity_key: str,
         request: HttpRequest,
     ):
@@ -77,17 +77,17 @@
         self.body = body
         self.digest = body_digest(*digest_parts)
         self.deadline = deadline
-        self.repeatable = repeatable
+        self.is_repeatable = is_repeatable
         self.affinity_key = affinity_key
         self.request = request
         # Learnt at run time.
         self.attempts = 0
-        self.avoid: tuple[str, ...] = ()
+        self.avoided_targets: tuple[str, ...] = ()
         self.slot: Slot | None = None
-        self.answer: RunningAnswer | None = None
-        self.claimed = False
+        self.answer: SharedAnswer | None = None
+        self.has_claim = False
         self.provisional_against = ""
-        self.ended = False
+        self.has_ended = False
 
     @property
     def ticket(self) -> Ticket | None:
--- a/whinrack/server/_call_runner.py
+++ b/whinrack/server/_call_runner.py
@@ -11,20 +11,20 @@
 from whinrack.requests import RunState
 from whinrack.routing import PickQuery, TargetView
 from whinrack.server._admission import Slot
-from whinrack.server._answers import RunningAnswer
+from whinrack.server._answers import SharedAnswer
 from whinrack.server._call import Call
 from whinrack.server._context import ServerContext
 from whinrack.server._http import HttpAnswer
-from whinrack.server._ownership import JoinHere, JoinPeer, Ownership, RunHere
+from whinrack.server._ownership import JoinHere, JoinPeer, OwnershipResolver, RunHere
 from whinrack.server._policies import PolicyEvaluator
 from whinrack.server._streams import CallerStream, joined_answer
 
 __all__ = ["CallRunner"]
 
-_JOIN_POLL = 0.02
-_JOIN_ROUNDS = 5
-_MOST_CANDIDATES = 16
-_UNANSWERED = (RunState.ASKING, RunState.RESERVED, RunState.RUNNING)
+_JOIN_POLL_SECONDS = 0.02
+_MAX_JOIN_ROUNDS = 5
+_MAX_CANDIDATES = 16
+_UNFINISHED_STATES = (RunState.ASKING, RunState.RESERVED, RunState.RUNNING)
 
 
 class CallRunner:
@@ -37,7 +37,7 @@
 
     def __init__(self, context: ServerContext):
         self.context = context
-        self.ownership = Ownership(context)
+        self.ownership = OwnershipResolver(context)
         self.policies = PolicyEvaluator(context.config, context.metrics)
 
     def start(self, call: Call) -> HttpAnswer:
@@ -46,9 +46,9 @@
 
     def run(self, call: Call) -> HttpAnswer:
         """Run a request, or join the answer it already has."""
-        for _ in range(_JOIN_ROUNDS):
-            decision = self.ownership.settle(
-                call.identity, call.digest, call.ticket, call.repeatable
+        for _ in range(_MAX_JOIN_ROUNDS):
+            decision = self.ownership.resolve(
+                call.identity, call.digest, call.ticket, call.is_repeatable
             )
             match decision:
                 case RunHere():
@@ -62,61 +62,61 @@
         raise OutcomeUnknown("another try of this request is in progress", retry_after=1.0)
 
     def _run_here(self, call: Call, decision: RunHere) -> HttpAnswer:
-        call.claimed = decision.claimed
+        call.has_claim = decision.has_claim
         call.provisional_against = decision.provisional_against
         limit = self.context.settings.requests.answer_limit if call.identity.has_caller_key else 0
-        call.answer = RunningAnswer(limit)
-        self._remember(call, RunState.RUNNING)
+        call.answer = SharedAnswer(limit)
+        self._record_state(call, RunState.RUNNING)
         try:
             return self.start(call)
         except Refusal as refusal:
-            self._end_refused(call, refusal)
+            self._end_with_refusal(call, refusal)
             raise
         except BaseException:
-            self._end_refused(call, TargetFailed("failed inside"))
+            self._end_with_refusal(call, TargetFailed("failed inside"))
             raise
 
     # --- attempts ----------------------------------------------------------------
 
-    def place(self, call: Call) -> Slot:
+    def acquire_slot(self, call: Call) -> Slot:
         """Find a target, waiting in the queue if need be."""
         query = PickQuery(
             request_class=call.decision.request_class,
             spread=call.decision.spread,
             affinity_key=call.affinity_key,
-            avoid=call.avoid,
+            avoided_targets=call.avoided_targets,
         )
-        slot = self.context.directory.admit(call.decision, query, call.deadline)
+        slot = self.context.pool_directory.admit(call.decision, query, call.deadline)
         if isinstance(slot, Failure):
             raise slot.failure()
         call.slot = slot.unwrap()
         return call.slot
 
-    def place_at(self, call: Call, target: TargetView) -> Slot:
+    def take_slot(self, call: Call, target: TargetView) -> Slot:
         """Take a place at a given target."""
-        pool = self.context.directory.pools()[target.spec.pool]
+        pool = self.context.pool_directory.pools()[target.spec.pool]
         target.begin_request()
-        call.slot = Slot(self.context.directory, pool, target)
+        call.slot = Slot(self.context.pool_directory, pool, target)
         return call.slot
 
     def candidates(self, call: Call) -> list[TargetView]:
         """Return the targets of the allowed pools, a bounded number of them."""
-        pools = self.context.directory.pools()
+        pools = self.context.pool_directory.pools()
         targets = {
             target.name: target
             for name in call.decision.pools
             if name in pools
             for target in pools[name].targets.values()
         }
-        names = rendezvous(call.identity.name, targets)[:_MOST_CANDIDATES]
+        names = rendezvous(call.identity.name, targets)[:_MAX_CANDIDATES]
         return [targets[name] for name in names]
 
     def send(self, call: Call, slot: Slot, path: str, headers) -> Result:
         """Send one attempt."""
         call.attempts += 1
         if call.attempts == 1:
-            slot.pool.retries.record_request()
-        reply = self.context.targets.send(
+            slot.pool.retry_budget.record_request()
+        reply = self.context.target_client.send(
             slot.target.spec.address,
             call.request.method,
             path,
@@ -125,28 +125,28 @@
             call.time_left(),
         )
         if isinstance(reply, Failure):
-            self.context.directory.failed(slot.target)
+            self.context.pool_directory.record_failure(slot.target)
         return reply
 
-    def may_retry(self, call: Call, refusal: Refusal) -> bool:
+    def prepare_retry(self, call: Call, refusal: Refusal) -> bool:
         """Whether another attempt is made, counting why or why not."""
         if refusal.outcome is Outcome.NOT_RUN:
             reason = "not_started"
-        elif call.repeatable:
+        elif call.is_repeatable:
             reason = "failed"
         else:
-            return self._deny("not_repeatable")
+            return self._deny_retry("not_repeatable")
         if call.attempts >= call.decision.attempts:
-            return self._deny("attempts")
+            return self._deny_retry("attempts")
         if steady() >= call.deadline:
-            return self._deny("deadline")
-        if not call.slot.pool.retries.try_retry():
-            return self._deny("retry_budget")
-        call.avoid = (*call.avoid, call.slot.target.name)
+            return self._deny_retry("deadline")
+        if not call.slot.pool.retry_budget.try_acquire():
+            return self._deny_retry("retry_budget")
+        call.avoided_targets = (*call.avoided_targets, call.slot.target.name)
         self.context.metrics.retries.labels(reason).inc()
         return True
 
-    def _deny(self, reason: str) -> bool:
+    def _deny_retry(self, reason: str) -> bool:
         self.context.metrics.retries_denied.labels(reason).inc()
         return False
 
@@ -156,23 +156,25 @@
         """Answer from the running or finished answer; None if it came to nothing."""
         while True:
             entry = self.context.memory.find(call.identity.name)
-            if entry is None or entry.state not in (*_UNANSWERED, RunState.FINISHED):
+            if entry is None or entry.state not in (*_UNFINISHED_STATES, RunState.FINISHED):
                 return None
             if entry.answer is not None and entry.answer.status:
                 break
             if steady() >= call.deadline:
                 raise OutcomeUnknown("another try of this request is running", retry_after=1.0)
-            eventlet.sleep(_JOIN_POLL)
+            eventlet.sleep(_JOIN_POLL_SECONDS)
         self.context.metrics.joins.labels("here").inc()
         return joined_answer(entry.answer.read())
 
     def _join_peer(self, call: Call, decision: JoinPeer) -> HttpAnswer | None:
-        parts = self.context.peers.join(decision.member.peer_address, call.identity.name)
+        parts = self.context.peer_client.join_answer(
+            decision.member.peer_address, call.identity.name
+        )
         try:
             answer = joined_answer(parts)
         except PeerUnavailable:
             # It is asked for again from the start, at whoever has it then.
-            eventlet.sleep(_JOIN_POLL)
+            eventlet.sleep(_JOIN_POLL_SECONDS)
             return None
         self.context.metrics.joins.labels("peer").inc()
         return answer
@@ -183,50 +185,50 @@
         """Wrap a body so that a caller's hang-up ends or detaches it."""
         return CallerStream(call, body, self.context.settings.requests.join_grace)
 
-    def finish(self, call: Call, whole: bool) -> None:
+    def finish(self, call: Call, is_complete: bool) -> None:
         """End an answer that has begun."""
-        if call.ended:
+        if call.has_ended:
             return
         call.slot.release()
-        call.answer.finish(whole)
+        call.answer.finish(is_complete)
         if call.identity.has_caller_key:
-            self.context.shelf.add(call.answer)
-        if whole:
-            self._remember(call, RunState.FINISHED)
+            self.context.answer_cache.add(call.answer)
+        if is_complete:
+            self._record_state(call, RunState.FINISHED)
         else:
-            self._remember(call, RunState.UNKNOWN)
-        self.ended(call, Outcome.RAN)
+            self._record_state(call, RunState.UNKNOWN)
+        self.record_end(call, Outcome.RAN)
 
-    def ended(self, call: Call, outcome: Outcome) -> None:
+    def record_end(self, call: Call, outcome: Outcome) -> None:
         """Count the end of a call."""
-        call.ended = True
+        call.has_ended = True
         self.context.metrics.requests.labels(self.kind, str(outcome)).inc()
         if outcome is Outcome.NOT_RUN:
-            self._not_run(call)
+            self._release_claim(call)
 
-    def _end_refused(self, call: Call, refusal: Refusal) -> None:
+    def _end_with_refusal(self, call: Call, refusal: Refusal) -> None:
         refusal.attempts = call.attempts
         if call.slot is not None:
             call.slot.release()
-        if call.ended:
+        if call.has_ended:
             return
         if refusal.outcome is Outcome.NOT_RUN:
-            self.ended(call, Outcome.NOT_RUN)
+            self.record_end(call, Outcome.NOT_RUN)
             return
-        self._remember(call, RunState.UNKNOWN)
-        self.ended(call, refusal.outcome)
+        self._record_state(call, RunState.UNKNOWN)
+        self.record_end(call, refusal.outcome)
 
-    def _not_run(self, call: Call) -> None:
+    def _release_claim(self, call: Call) -> None:
         """Give a claim up, then let others run the request.
 
         In this order: while the claim may still be given up by a late write, nobody
         may run the request by virtue of it.
         """
         given_up = True
-        if call.claimed:
+        if call.has_claim:
             given_up = not isinstance(self.context.claims.abandon(call.identity), Failure)
-        self._remember(call, RunState.NOT_RUN if given_up else RunState.UNKNOWN)
+        self._record_state(call, RunState.NOT_RUN if given_up else RunState.UNKNOWN)
 
-    def _remember(self, call: Call, state: RunState) -> None:
+    def _record_state(self, call: Call, state: RunState) -> None:
         if call.identity.has_caller_key:
             self.context.memory.set_state(call.identity.name, state, steady(), call.answer)
--- a/whinrack/server/_chat.py
+++ b/whinrack/server/_chat.py
@@ -40,20 +40,20 @@
 __all__ = ["ChatEndpoint"]
 
 _PATH = "/v1/chat/completions"
-_SSE = "text/event-stream"
+_SSE_CONTENT_TYPE = "text/event-stream"
 _PREFIX_BYTES = 512
-_RESUMES = 3
-_END_TIMEOUT = 0.5
+_MAX_RESUMES = 3
+_BODY_END_TIMEOUT = 0.5
 
 
-class _WholeAnswer(msgspec.Struct):
+class _Completion(msgspec.Struct):
     """The part of a whole answer that whinrack reads."""
 
     id: str = ""
     usage: Usage | None = None
 
 
-_WHOLE = msgspec.json.Decoder(_WholeAnswer)
+_COMPLETION_DECODER = msgspec.json.Decoder(_Completion)
 
 
 class ChatCall(Call):
@@ -61,9 +61,9 @@
 
     Attributes
     ----------
-    limit : int
+    max_output_tokens : int
         Most tokens of one choice.
-    bound : int
+    token_bound : int
         Most tokens in all, prompt included.
     settlement : Settlement or None
         Its cover and its bill, once it runs here.
@@ -71,14 +71,14 @@
         Checks of the answer that is being relayed.
     """
 
-    def __init__(self, chat: ChatRequest, limit: int, bound: int, **options):
+    def __init__(self, chat: ChatRequest, max_output_tokens: int, token_bound: int, **options):
         super().__init__(**options)
         self.chat = chat
-        self.limit = limit
-        self.bound = bound
+        self.max_output_tokens = max_output_tokens
+        self.token_bound = token_bound
         self.settlement: Settlement | None = None
         self.stream: ChatStream | None = None
-        self.resumes = 0
+        self.resume_count = 0
 
     @property
     def answer_id(self) -> str:
@@ -86,9 +86,9 @@
         return f"chatcmpl-{self.identity.request_id}"
 
     @property
-    def most_events(self) -> int:
+    def max_content_events(self) -> int:
         """Content events beyond which the engine has gone past its limit."""
-        return self.chat.n * (self.limit + 1)
+        return self.chat.n * (self.max_output_tokens + 1)
 
 
 class ChatEndpoint(CallRunner):
@@ -109,7 +109,7 @@
         """Answer one request."""
         body = request.read_body()
         chat = parse_chat(body)
-        serving = self.context.directory.serving(chat.model)
+        serving = self.context.pool_directory.pools_serving(chat.model)
         if not serving:
             raise UnknownModel(f"no pool serves {chat.model[:80]!r}", param="model")
         facts = RequestFacts(
@@ -119,7 +119,7 @@
             stream=chat.stream,
             prompt_bytes=len(body),
             max_tokens=chat.max_tokens or 0,
-            repeatable=request.marked_repeatable(),
+            repeatable=request.is_marked_repeatable(),
         )
         decision = self.policies.decide(caller.workspace.policy, facts, serving)
         pool = serving[decision.pools[0]].spec
@@ -137,7 +137,7 @@
             body=engine_body(body, chat, limit),
             digest_parts=(self.kind.encode(), body),
             deadline=deadline_of(request, pool),
-            repeatable=facts.repeatable
+            is_repeatable=facts.repeatable
             and decision.repeatable
             and all(serving[name].spec.repeatable for name in decision.pools),
             affinity_key=f"{chat.model}/{body[:_PREFIX_BYTES].hex()}",
@@ -148,32 +148,32 @@
     def start(self, call: ChatCall) -> HttpAnswer:
         """Cover, send and relay a request that runs here."""
         call.settlement = Settlement(
-            self.context, call.caller, call.identity, call.bound, call.provisional_against
+            self.context, call.caller, call.identity, call.token_bound, call.provisional_against
         )
         call.settlement.open()
         try:
-            return self._attempts(call)
+            return self._run_attempts(call)
         except BaseException:
-            call.settlement.abandon()
+            call.settlement.release()
             raise
 
-    def _attempts(self, call: ChatCall) -> HttpAnswer:
+    def _run_attempts(self, call: ChatCall) -> HttpAnswer:
         """Try targets until one has answered with a first byte, or give up."""
         if call.provisional_against:
-            resumed = self._resume_anywhere(call)
+            resumed = self._resume_at_candidates(call)
             if resumed is not None:
                 return resumed
         while True:
-            slot = self.place(call)
+            slot = self.acquire_slot(call)
             reply = self.send(call, slot, _PATH, self._headers(call))
-            answer = self._answer(call, reply)
+            answer = self._process_reply(call, reply)
             if not isinstance(answer, Failure):
                 return answer.unwrap()
             refusal = answer.failure()
             slot.release()
             if refusal.outcome is not Outcome.NOT_RUN:
                 self._write_off(call)
-            if not self.may_retry(call, refusal):
+            if not self.prepare_retry(call, refusal):
                 raise refusal
             call.settlement.reopen()
 
@@ -184,7 +184,7 @@
             ("X-Priority", _PRIORITY[call.decision.request_class]),
         ]
 
-    def _answer(self, call: ChatCall, reply: Result) -> Result[HttpAnswer, Refusal]:
+    def _process_reply(self, call: ChatCall, reply: Result) -> Result[HttpAnswer, Refusal]:
         if isinstance(reply, Failure):
             return reply
         response = reply.unwrap()
@@ -192,84 +192,84 @@
             response.drain_conn()
             response.release_conn()
             call.slot.target.record_overload()
-            call.slot.target.back_off(retry_after(response), steady())
+            call.slot.target.start_backoff(retry_after(response), steady())
             return Failure(TargetUnavailable("the target is busy", retry_after=1.0))
         if response.status >= 500:
             response.close()
             return Failure(TargetFailed(f"the target answered {response.status}"))
         if response.status != 200:
-            return read_body(response).map(
-                lambda body: self._refused_by_engine(call, body, response)
-            )
+            return read_body(response).map(lambda body: self._pass_on_refusal(call, body, response))
         if call.chat.stream:
             return self._open_stream(call, response)
-        return self._whole(call, response)
+        return self._return_completion(call, response)
 
-    def _refused_by_engine(self, call: ChatCall, body: bytes, response) -> HttpAnswer:
+    def _pass_on_refusal(self, call: ChatCall, body: bytes, response) -> HttpAnswer:
         """Pass on the engine's word that the request is at fault."""
         call.slot.release()
-        call.settlement.abandon()
+        call.settlement.release()
         content_type = response.headers.get("Content-Type", "application/json")
         headers = [("Content-Type", content_type), ("Content-Length", str(len(body)))]
-        self.ended(call, Outcome.NOT_RUN)
+        self.record_end(call, Outcome.NOT_RUN)
         fields = answer_headers(call.identity.request_id, call.attempts, Outcome.NOT_RUN)
         return HttpAnswer(response.status, headers + fields, [body])
 
     # --- whole answers -----------------------------------------------------------
 
-    def _whole(self, call: ChatCall, response) -> Result[HttpAnswer, Refusal]:
+    def _return_completion(self, call: ChatCall, response) -> Result[HttpAnswer, Refusal]:
         body = read_body(response)
         if isinstance(body, Failure):
             return body
         data = body.unwrap()
         try:
-            answer = _WHOLE.decode(data)
+            answer = _COMPLETION_DECODER.decode(data)
         except msgspec.MsgspecError:
             return Failure(AnswerCut("the answer is not JSON"))
         if answer.id != call.answer_id:
             failure = ForeignAnswer("the answer has another request's id")
-            self._count_dropped(call, failure)
+            self._record_dropped_answer(call, failure)
             return Failure(failure)
-        self._succeeded(call)
-        call.settlement.settle(answer.usage, events=call.limit * call.chat.n)
+        self._record_success(call)
+        call.settlement.settle(answer.usage, events=call.max_output_tokens * call.chat.n)
         headers = [("Content-Type", "application/json"), ("Content-Length", str(len(data)))]
         headers += answer_headers(call.identity.request_id, call.attempts, Outcome.RAN)
         call.answer.start(200, headers)
         call.answer.append(data)
-        call.settlement.wait_kept()
-        self.finish(call, whole=True)
+        call.settlement.wait_committed()
+        self.finish(call, is_complete=True)
         return Success(HttpAnswer(200, headers, [data]))
 
     # --- streams -----------------------------------------------------------------
 
     def _open_stream(self, call: ChatCall, response) -> Result[HttpAnswer, Refusal]:
         """Read the first events, so that a failure before them can still be retried."""
-        call.stream = ChatStream(call.answer_id, self._keeps_usage(call))
+        call.stream = ChatStream(call.answer_id, self._caller_wants_usage(call))
         events = whole_events(body_chunks(response))
         try:
-            first = self._next(call, events)
+            first = self._next_events(call, events)
         except TargetFailed as failure:
             response.close()
-            self._count_dropped(call, failure)
+            self._record_dropped_answer(call, failure)
             return Failure(failure)
-        self.context.metrics.first_byte.labels(self.kind).observe(steady() - call.request.arrived)
-        headers = [("Content-Type", _SSE), ("Cache-Control", "no-cache")]
+        self.context.metrics.first_byte.labels(self.kind).observe(
+            steady() - call.request.arrived_at
+        )
+        headers = [("Content-Type", _SSE_CONTENT_TYPE), ("Cache-Control", "no-cache")]
         headers += answer_headers(call.identity.request_id, call.attempts, Outcome.RAN)
         call.answer.start(200, headers)
         body = self._relay(call, response, events, first)
         return Success(HttpAnswer(200, headers, self.caller_stream(call, body)))
 
-    def _keeps_usage(self, call: ChatCall) -> bool:
+    def _caller_wants_usage(self, call: ChatCall) -> bool:
         options = call.chat.stream_options
         return options is not None and options.include_usage
 
-    def _next(self, call: ChatCall, events: Iterator[bytes]) -> bytes:
+    def _next_events(self, call: ChatCall, events: Iterator[bytes]) -> bytes:
         """Return the next checked events; the last ones are marked by `stream.done`."""
         data = next(events, None)
         if data is None:
             raise AnswerCut("the stream ended without its end mark")
         checked = call.stream.check(data)
-        if call.stream.content_events > call.most_events:
+        if call.stream.content_events > call.max_content_events:
             raise AnswerCut("the engine went past the limit")
         return checked
 
@@ -281,55 +281,55 @@
                 append(data)
                 yield data
                 try:
-                    data = self._next(call, events)
+                    data = self._next_events(call, events)
                 except AnswerCut as cut:
                     response, events = self._resume(call, response, cut)
-                    data = self._next(call, events)
-            self._check_count(call)
-            self._succeeded(call)
+                    data = self._next_events(call, events)
+            self._check_event_count(call)
+            self._record_success(call)
             call.settlement.settle(call.stream.usage, events=call.stream.content_events)
-            call.settlement.wait_kept()
+            call.settlement.wait_committed()
             append(data)
             # Whole and billed from here on, whether or not the caller still reads it.
-            self.finish(call, whole=True)
+            self.finish(call, is_complete=True)
             yield data
-            _end_connection(response, events)
+            _release_connection(response, events)
         except TargetFailed as failure:
-            yield self._break_off(call, response, failure)
+            yield self._end_cut_answer(call, response, failure)
         finally:
             # Reached by a caller's hang-up too.
-            if not call.ended:
-                self._hang_up(call, response)
+            if not call.has_ended:
+                self._end_abandoned_answer(call, response)
 
-    def _check_count(self, call: ChatCall) -> None:
+    def _check_event_count(self, call: ChatCall) -> None:
         """Refuse an answer with more events than its engine says it generated."""
         usage = call.stream.usage
         if usage is not None:
-            most = usage.completion_tokens + call.chat.n
-            if call.stream.content_events > most:
+            max_events = usage.completion_tokens + call.chat.n
+            if call.stream.content_events > max_events:
                 raise AnswerCut("more events than the engine generated")
 
-    def _break_off(self, call: ChatCall, response, failure: TargetFailed) -> bytes:
+    def _end_cut_answer(self, call: ChatCall, response, failure: TargetFailed) -> bytes:
         """End a cut answer so that nobody takes it for whole."""
         response.close()
-        self._count_dropped(call, failure)
-        self.context.directory.failed(call.slot.target)
+        self._record_dropped_answer(call, failure)
+        self.context.pool_directory.record_failure(call.slot.target)
         self._cancel_and_settle(call)
         event = b"data: " + error_body(failure) + b"\n\n"
         call.answer.append(event)
-        self.finish(call, whole=False)
+        self.finish(call, is_complete=False)
         return event
 
-    def _count_dropped(self, call: ChatCall, failure: TargetFailed) -> None:
+    def _record_dropped_answer(self, call: ChatCall, failure: TargetFailed) -> None:
         foreign = isinstance(failure, ForeignAnswer)
         self.context.metrics.answers_dropped.labels("foreign" if foreign else "cut").inc()
         event = Event.ANSWER_FOREIGN if foreign else Event.ANSWER_CUT
         log_event(event, target=call.slot.target.name, request=call.identity.request_id)
 
-    def _hang_up(self, call: ChatCall, response) -> None:
+    def _end_abandoned_answer(self, call: ChatCall, response) -> None:
         response.close()
         self._cancel_and_settle(call)
-        self.finish(call, whole=False)
+        self.finish(call, is_complete=False)
 
     def _cancel_and_settle(self, call: ChatCall) -> None:
         call.settlement.settle(self._cancel(call), events=call.stream.content_events)
@@ -341,9 +341,9 @@
     def _cancel(self, call: ChatCall) -> Usage | None:
         """Cancel a try at its engine; returns what it used, if the engine can say."""
         address = call.slot.target.spec.address
-        return self.context.targets.cancel(address, call.identity.request_id)
+        return self.context.target_client.cancel(address, call.identity.request_id)
 
-    def _succeeded(self, call: ChatCall) -> None:
+    def _record_success(self, call: ChatCall) -> None:
         call.slot.target.record_success(steady())
 
     # --- resuming ----------------------------------------------------------------
@@ -351,10 +351,13 @@
     def _resume(self, call: ChatCall, response, cut: AnswerCut):
         """Take a cut stream up again at its engine, after the events that came whole."""
         response.close()
-        if call.resumes >= _RESUMES or call.stream.content_events > call.most_events:
+        if (
+            call.resume_count >= _MAX_RESUMES
+            or call.stream.content_events > call.max_content_events
+        ):
             raise cut
-        call.resumes += 1
-        resumed = self.context.targets.resume(
+        call.resume_count += 1
+        resumed = self.context.target_client.resume(
             call.slot.target.spec.address,
             call.identity.request_id,
             call.stream.events,
@@ -365,18 +368,18 @@
         self.context.metrics.retries.labels("resumed").inc()
         return resumed, whole_events(body_chunks(resumed))
 
-    def _resume_anywhere(self, call: ChatCall) -> HttpAnswer | None:
+    def _resume_at_candidates(self, call: ChatCall) -> HttpAnswer | None:
         """Look for the stream of a lost instance at the engines that may hold it."""
         if not call.chat.stream:
             return None
         for target in self.candidates(call):
-            response = self.context.targets.resume(
+            response = self.context.target_client.resume(
                 target.spec.address, call.identity.request_id, 0, call.time_left()
             )
             if response is None:
                 continue
             call.attempts += 1
-            self.place_at(call, target)
+            self.take_slot(call, target)
             answer = self._open_stream(call, response)
             if not isinstance(answer, Failure):
                 self.context.metrics.retries.labels("taken_up").inc()
@@ -385,9 +388,9 @@
         return None
 
 
-def _end_connection(response, events: Iterator[bytes]) -> None:
+def _release_connection(response, events: Iterator[bytes]) -> None:
     """Read the body's own end, so that the connection can be used again; else close it."""
-    with eventlet.Timeout(_END_TIMEOUT, False):
+    with eventlet.Timeout(_BODY_END_TIMEOUT, False):
         try:
             if next(events, None) is None:
                 response.release_conn()
--- a/whinrack/server/_config_follower.py
+++ b/whinrack/server/_config_follower.py
@@ -13,7 +13,7 @@
 __all__ = ["ConfigFollower"]
 
 _KINDS = tuple(DECLARED_KINDS)
-_PAUSE = 0.2
+_RETRY_SECONDS = 0.2
 _PLATFORM = "platform"
 
 
@@ -32,36 +32,38 @@
         self.context = context
         self.store = store
         self._source = ""
-        self._listed = False
+        self._has_snapshot = False
 
-    def load_first(self) -> None:
+    def load_initial(self) -> None:
         """Get a first configuration, from the platform or from any peer."""
-        while not self._list():
+        while not self._load_snapshot():
             self._catch_up_from_peers()
             if self.context.config.newest_version:
                 break
-            eventlet.sleep(_PAUSE)
-        self.context.state.ready = True
+            eventlet.sleep(_RETRY_SECONDS)
+        self.context.state.is_ready = True
 
     def run(self) -> None:
         """Follow, for ever."""
         while True:
             if self._should_watch():
-                self.context.state.watching = True
-                followed = self._watch()
+                self.context.state.is_watching = True
+                followed = self._watch_platform()
             else:
-                self.context.state.watching = False
+                self.context.state.is_watching = False
                 followed = self._follow_peer()
             if not followed:
                 self._catch_up_from_peers()
-                eventlet.sleep(_PAUSE)
+                eventlet.sleep(_RETRY_SECONDS)
 
     def catch_up(self, address: str) -> bool:
         """Take what a peer has beyond what is here, once."""
         config = self.context.config
         try:
-            for revision, objects in self.context.peers.feed(address, config.revision):
-                self._count("peer", config.apply_batch(revision, objects))
+            for revision, objects in self.context.peer_client.follow_config(
+                address, config.revision
+            ):
+                self._count_changes("peer", config.apply_batch(revision, objects))
                 return True
         except PeerUnavailable:
             return False
@@ -75,30 +77,30 @@
         count = self.context.settings.membership.watchers_per_hall
         return self.context.table.watcher_incarnations(self.context.own_member(), count, steady())
 
-    def _watch(self) -> bool:
-        if not self._listed and not self._list():
+    def _watch_platform(self) -> bool:
+        if not self._has_snapshot and not self._load_snapshot():
             return False
-        self._from(_PLATFORM)
+        self._set_source(_PLATFORM)
         config = self.context.config
         wait = self.context.settings.platform.watch_wait
         result = self.store.watch(_KINDS, config.revision, wait)
         if isinstance(result, Failure):
-            self._listed = False
+            self._has_snapshot = False
             return False
         batch = result.unwrap()
         if batch.gap:
-            return self._list()
-        self._count(_PLATFORM, config.apply_batch(batch.revision, batch.objects))
+            return self._load_snapshot()
+        self._count_changes(_PLATFORM, config.apply_batch(batch.revision, batch.objects))
         return True
 
-    def _list(self) -> bool:
+    def _load_snapshot(self) -> bool:
         result = self.store.list(_KINDS)
         if not isinstance(result, Success):
             return False
         snapshot = result.unwrap()
         taken = self.context.config.apply_snapshot(snapshot.revision, snapshot.objects)
-        self._count(_PLATFORM, taken)
-        self._listed = True
+        self._count_changes(_PLATFORM, taken)
+        self._has_snapshot = True
         return True
 
     def _follow_peer(self) -> bool:
@@ -108,12 +110,12 @@
             member = self.context.table.find(watcher)
             if member is None:
                 continue
-            self._from(watcher)
+            self._set_source(watcher)
             try:
-                for revision, objects in self.context.peers.feed(
+                for revision, objects in self.context.peer_client.follow_config(
                     member.peer_address, config.revision
                 ):
-                    self._count("peer", config.apply_batch(revision, objects))
+                    self._count_changes("peer", config.apply_batch(revision, objects))
                     if watcher not in self._watchers():
                         return True
             except PeerUnavailable:
@@ -126,11 +128,11 @@
             if self.catch_up(address):
                 return
 
-    def _from(self, source: str) -> None:
+    def _set_source(self, source: str) -> None:
         if source != self._source:
             self._source = source
             log_event(Event.FEED_CHANGED, source=source)
 
-    def _count(self, source: str, taken: int) -> None:
+    def _count_changes(self, source: str, taken: int) -> None:
         if taken:
             self.context.metrics.config_taken.labels(source).inc(taken)
--- a/whinrack/server/_consultation.py
+++ b/whinrack/server/_consultation.py
@@ -12,10 +12,10 @@
 from whinrack.requests import ConsultDecision, ConsultReply, RequestIdentity
 from whinrack.server._context import ServerContext
 
-__all__ = ["AskedRequest", "HeirReply", "PeerConsultant"]
+__all__ = ["UnresolvedRequest", "SuccessorReply", "PeerConsultation"]
 
 
-class AskedRequest(msgspec.Struct, frozen=True):
+class UnresolvedRequest(msgspec.Struct, frozen=True):
     """What is known about a request that is to be placed.
 
     Attributes
@@ -26,19 +26,19 @@
 
     identity: RequestIdentity
     digest: bytes
-    repeatable: bool
-    ticketed: bool
+    is_repeatable: bool
+    has_ticket: bool
     known_owner: str = ""
 
 
-class HeirReply(NamedTuple):
+class SuccessorReply(NamedTuple):
     """What the heir of a home says; `member` is None where this incarnation is the heir."""
 
     member: Member | None
-    verdict: ConsultReply
+    reply: ConsultReply
 
 
-class PeerConsultant:
+class PeerConsultation:
     """Puts the question to one peer at a time.
 
     Parameters
@@ -50,41 +50,41 @@
     def __init__(self, context: ServerContext):
         self.context = context
 
-    def ask_heir(self, asked: AskedRequest, home: str) -> HeirReply | None:
+    def consult_successor(self, request: UnresolvedRequest, home: str) -> SuccessorReply | None:
         """Ask who inherited the memory of a home that may have stopped as planned."""
         now = steady()
         own = self.context.state.incarnation
-        heirs = [own, *self.context.table.handover_candidates(now)]
-        name = rendezvous(asked.identity.name, heirs)[0]
+        candidates = [own, *self.context.table.handover_candidates(now)]
+        name = rendezvous(request.identity.name, candidates)[0]
         if name == own:
             if self.context.memory.is_responsible_for(home, now):
-                return HeirReply(None, ConsultReply(ConsultDecision.CEDED, own))
+                return SuccessorReply(None, ConsultReply(ConsultDecision.CEDED, own))
             return None
         member = self.context.table.find(name)
-        reply = self.ask(member, asked, "", home)
+        reply = self.consult(member, request, "", home)
         if reply is None or reply.decision is ConsultDecision.NOT_HEIR:
             return None
-        return HeirReply(member, reply)
+        return SuccessorReply(member, reply)
 
-    def ask(
-        self, member: Member | None, asked: AskedRequest, lost: str, home: str = ""
+    def consult(
+        self, member: Member | None, request: UnresolvedRequest, lost_owner: str, home: str = ""
     ) -> ConsultReply | None:
         """Ask one peer; None if it can't be reached."""
         if member is None:
             self.context.metrics.consultations.labels("unreachable").inc()
             return None
         query = ConsultQuery(
-            identity=asked.identity.name,
-            digest=asked.digest,
+            identity=request.identity.name,
+            digest=request.digest,
             asker=self.context.state.incarnation,
-            lost_owner=lost,
-            repeatable=asked.repeatable,
+            lost_owner=lost_owner,
+            repeatable=request.is_repeatable,
             home=home,
         )
-        reply = self.context.peers.consult(member.peer_address, query)
+        reply = self.context.peer_client.consult(member.peer_address, query)
         if isinstance(reply, Failure):
             self.context.metrics.consultations.labels("unreachable").inc()
             return None
-        verdict = reply.unwrap()
-        self.context.metrics.consultations.labels(str(verdict.decision)).inc()
-        return verdict
+        answer = reply.unwrap()
+        self.context.metrics.consultations.labels(str(answer.decision)).inc()
+        return answer
--- a/whinrack/server/_context.py
+++ b/whinrack/server/_context.py
@@ -10,7 +10,7 @@
 from whinrack.peers import PeerClient
 from whinrack.requests import ClaimStore, RequestMemory
 from whinrack.server._admission import PoolDirectory
-from whinrack.server._answers import AnswerShelf
+from whinrack.server._answers import AnswerCache
 from whinrack.server._bills import BillKeeper
 from whinrack.settings import Settings
 
@@ -22,19 +22,19 @@
 
     Attributes
     ----------
-    leaving : bool
+    is_leaving : bool
         A planned stop has begun.
-    closed : bool
+    is_closed : bool
         The planned stop is over but for giving things back: nothing is begun any more.
     in_progress : int
         Requests of callers that are not answered yet.
     """
 
     incarnation: str
-    leaving: bool = False
-    closed: bool = False
-    ready: bool = False
-    watching: bool = False
+    is_leaving: bool = False
+    is_closed: bool = False
+    is_ready: bool = False
+    is_watching: bool = False
     in_progress: int = 0
 
 
@@ -45,14 +45,14 @@
     state: DaemonState
     config: ConfigStore
     table: MembershipTable
-    keeper: BudgetManager
+    budget_manager: BudgetManager
     memory: RequestMemory
     claims: ClaimStore
-    bills: BillKeeper
-    directory: PoolDirectory
-    targets: TargetClient
-    peers: PeerClient
-    shelf: AnswerShelf
+    bill_keeper: BillKeeper
+    pool_directory: PoolDirectory
+    target_client: TargetClient
+    peer_client: PeerClient
+    answer_cache: AnswerCache
     metrics: Metrics
 
     def own_member(self) -> Member:
@@ -65,8 +65,8 @@
             data_hall=settings.instance.data_hall,
             http_address=settings.http.address,
             peer_address=settings.peer.address,
-            leaving=self.state.leaving,
+            leaving=self.state.is_leaving,
             revision=self.config.newest_version,
             requests_in_progress=self.state.in_progress,
-            watching=self.state.watching,
+            watching=self.state.is_watching,
         )
--- a/whinrack/server/_daemon.py
+++ b/whinrack/server/_daemon.py
@@ -19,7 +19,7 @@
 from whinrack.peers import PeerClient, PeerServer, client_context, server_context
 from whinrack.requests import ClaimStore, RequestMemory
 from whinrack.server._admission import PoolDirectory
-from whinrack.server._answers import AnswerShelf
+from whinrack.server._answers import AnswerCache
 from whinrack.server._app import Application
 from whinrack.server._bills import BillKeeper
 from whinrack.server._config_follower import ConfigFollower
@@ -27,17 +27,17 @@
 from whinrack.server._peer_handlers import ChangeSignal, DaemonHandlers
 from whinrack.server._protocol import CallerProtocol
 from whinrack.server._tasks import BackgroundTasks
-from whinrack.server._token_sources import PeerSpares, RegionSource
+from whinrack.server._token_sources import PeerTokenSource, RegionTokenSource
 from whinrack.settings import Settings
 from whinrack.store import HttpObjectStore, StoredObject
 
 __all__ = ["RouterDaemon"]
 
-_SHELF_BYTES = 33_554_432
+_ANSWER_CACHE_BYTES = 33_554_432
 _SOCKET_TIMEOUT = 60.0
 _BACKLOG = 1024
-_STOP_PAUSE = 0.1
-_DRAIN_LONGEST = 10.0
+_STOP_POLL_SECONDS = 0.1
+_MAX_DRAIN_SECONDS = 10.0
 
 
 class RouterDaemon:
@@ -52,7 +52,7 @@
     def __init__(self, settings: Settings):
         self.settings = settings
         self.metrics = Metrics()
-        self.signal = ChangeSignal()
+        self.config_signal = ChangeSignal()
         self._exit = Semaphore(0)
         self._build()
 
@@ -66,7 +66,7 @@
         self.peer_server.start()
         self.tasks.read_list()
         self.tasks.beat()
-        self.follower.load_first()
+        self.follower.load_initial()
         self.tasks.start()
         server = eventlet.spawn(self._serve, sock)
         log_event(Event.ROUTER_STARTED, incarnation=self.context.state.incarnation)
@@ -86,20 +86,23 @@
         )
         table = MembershipTable(settings.instance.name, settings.membership.suspect_after)
         peers = PeerClient(
-            settings.peer.fleet_key, settings.peer.timeout, metrics, self._tls(client_context)
+            settings.peer.fleet_key,
+            settings.peer.timeout,
+            metrics,
+            self._tls_context(client_context),
         )
-        drawer = AccountWriter(self.store, Semaphore)
-        source = RegionSource(self._own, table, peers, drawer, metrics)
+        account_writer = AccountWriter(self.store, Semaphore)
+        source = RegionTokenSource(self._own_member, table, peers, account_writer, metrics)
         keeper = BudgetManager(
             incarnation,
             source,
-            PeerSpares(self._own, table, peers),
+            PeerTokenSource(self._own_member, table, peers),
             report_after=settings.budgets.report_after,
             horizon=settings.budgets.horizon,
             gather_wait=settings.budgets.gather_wait,
             make_lock=Semaphore,
         )
-        config = ConfigStore(self._config_changed, self._config_invalid)
+        config = ConfigStore(self._on_config_change, self._on_invalid_object)
         writer = JournalWriter(self.store, incarnation)
         self.directory = PoolDirectory(config, metrics)
         self.context = ServerContext(
@@ -107,49 +110,51 @@
             state=DaemonState(incarnation),
             config=config,
             table=table,
-            keeper=keeper,
+            budget_manager=keeper,
             memory=RequestMemory(
                 incarnation, settings.requests.remember, settings.requests.entries
             ),
             claims=ClaimStore(self.store, incarnation),
-            bills=BillKeeper(writer, settings.journal.commit_interval),
-            directory=self.directory,
-            targets=TargetClient(),
-            peers=peers,
-            shelf=AnswerShelf(_SHELF_BYTES),
+            bill_keeper=BillKeeper(writer, settings.journal.commit_interval),
+            pool_directory=self.directory,
+            target_client=TargetClient(),
+            peer_client=peers,
+            answer_cache=AnswerCache(_ANSWER_CACHE_BYTES),
             metrics=metrics,
         )
         self.follower = ConfigFollower(self.context, self.store)
-        handlers = DaemonHandlers(self.context, drawer, self.signal, self._leaving_told)
+        handlers = DaemonHandlers(
+            self.context, account_writer, self.config_signal, self._on_leaving
+        )
         self.tasks = BackgroundTasks(self.context, handlers, self.follower, self.store)
         self.peer_server = PeerServer(
             handlers,
             settings.peer.address,
             settings.peer.fleet_key,
             metrics,
-            self._tls(server_context),
+            self._tls_context(server_context),
         )
 
-    def _own(self):
+    def _own_member(self):
         return self.context.own_member()
 
-    def _tls(self, make_context):
+    def _tls_context(self, make_context):
         peer = self.settings.peer
         if not peer.certificate:
             return None
         return make_context(peer.certificate, peer.private_key, peer.authority)
 
-    def _leaving_told(self) -> None:
+    def _on_leaving(self) -> None:
         self.tasks.update_leaving()
 
-    def _config_changed(self, kinds: set[str]) -> None:
+    def _on_config_change(self, kinds: set[str]) -> None:
         newest = self.context.config.newest_version
         log_event(Event.CONFIG_TAKEN, kinds=",".join(sorted(kinds)), newest=newest)
         if kinds & {"Target", "TargetPool"}:
-            self.directory.rebuild()
-        self.signal.send()
+            self.directory.apply_config()
+        self.config_signal.send()
 
-    def _config_invalid(self, stored: StoredObject, error: InvalidObject) -> None:
+    def _on_invalid_object(self, stored: StoredObject, error: InvalidObject) -> None:
         log_event(
             Event.CONFIG_INVALID,
             object=f"{stored.kind}/{stored.name}",
@@ -181,25 +186,25 @@
     def _stop(self, sock, server) -> int:
         """Serve on until nobody holds this address, then give everything back."""
         state = self.context.state
-        state.leaving = True
-        CallerProtocol.leaving = True
+        state.is_leaving = True
+        CallerProtocol.is_leaving = True
         log_event(Event.ROUTER_STOPPING, in_progress=state.in_progress)
-        began = steady()
-        self.tasks.beat(everyone=True)
-        while self._must_serve_on(steady() - began):
-            eventlet.sleep(_STOP_PAUSE)
+        stop_started = steady()
+        self.tasks.beat(to_all_peers=True)
+        while self._must_keep_serving(steady() - stop_started):
+            eventlet.sleep(_STOP_POLL_SECONDS)
         sock.close()
         server.kill()
         # A kept connection may still bring a request: from here on it is refused.
-        state.closed = True
+        state.is_closed = True
         self._hand_over_memory()
-        complete = self._give_back()
+        complete = self._flush_bills_and_tokens()
         self.peer_server.stop()
-        self.context.peers.close()
+        self.context.peer_client.close()
         log_event(Event.ROUTER_STOPPED if complete else Event.STOP_INCOMPLETE)
         return 0
 
-    def _must_serve_on(self, seconds: float) -> bool:
+    def _must_keep_serving(self, seconds: float) -> bool:
         stop = self.settings.stop
         if seconds < stop.linger:
             return True
@@ -209,21 +214,25 @@
         """Tell each peer what callers will ask it instead of this instance."""
         context, now = self.context, steady()
         home = context.state.incarnation
-        shares = {heir: [] for heir in context.table.handover_candidates(now)}
+        entries_by_successor = {
+            successor: [] for successor in context.table.handover_candidates(now)
+        }
         for entry in context.memory.handover_entries():
-            if shares:
-                shares[rendezvous(entry.identity, shares)[0]].append(entry)
-        for heir, entries in shares.items():
-            address = context.table.find(heir).peer_address
-            context.peers.hand_over(address, home, entries)
-            for earlier in context.memory.taken_over_homes(now):
-                context.peers.hand_over(address, earlier, ())
-
-    def _give_back(self) -> bool:
-        end = steady() + _DRAIN_LONGEST
+            if entries_by_successor:
+                entries_by_successor[rendezvous(entry.identity, entries_by_successor)[0]].append(
+                    entry
+                )
+        for successor, entries in entries_by_successor.items():
+            address = context.table.find(successor).peer_address
+            context.peer_client.hand_over(address, home, entries)
+            for inherited_home in context.memory.taken_over_homes(now):
+                context.peer_client.hand_over(address, inherited_home, ())
+
+    def _flush_bills_and_tokens(self) -> bool:
+        end = steady() + _MAX_DRAIN_SECONDS
         while steady() < end:
-            kept = self.context.bills.flush()
-            if kept and self.context.keeper.drain():
+            is_committed = self.context.bill_keeper.flush()
+            if is_committed and self.context.budget_manager.drain():
                 return True
-            eventlet.sleep(_STOP_PAUSE)
+            eventlet.sleep(_STOP_POLL_SECONDS)
         return False
--- a/whinrack/server/_http.py
+++ b/whinrack/server/_http.py
@@ -31,8 +31,8 @@
 DEADLINE_HEADER = "Whinrack-Deadline"
 CLASS_HEADER = "Whinrack-Class"
 CODE_HEADER = "Whinrack-Code"
-_LONGEST_DEADLINE = 86_400.0
-_CHUNK = 65_536
+_MAX_DEADLINE_SECONDS = 86_400.0
+_CHUNK_BYTES = 65_536
 
 
 class ErrorBody(msgspec.Struct, frozen=True):
@@ -89,7 +89,7 @@
         self.environ = environ
         self.body_limit = body_limit
         self.body_timeout = body_timeout
-        self.arrived = steady()
+        self.arrived_at = steady()
 
     @property
     def method(self) -> str:
@@ -130,7 +130,7 @@
         finally:
             timeout.cancel()
 
-    def deadline(self) -> float | None:
+    def read_deadline(self) -> float | None:
         """Return the seconds that the caller gives the request, None for no limit."""
         text = self.header(DEADLINE_HEADER)
         if not text:
@@ -139,14 +139,14 @@
             seconds = float(text)
         except ValueError:
             seconds = -1.0
-        if not 0.0 < seconds <= _LONGEST_DEADLINE:
+        if not 0.0 < seconds <= _MAX_DEADLINE_SECONDS:
             raise BadRequest(
-                f"{DEADLINE_HEADER}: allowed is above 0 to {_LONGEST_DEADLINE:g} s",
+                f"{DEADLINE_HEADER}: allowed is above 0 to {_MAX_DEADLINE_SECONDS:g} s",
                 param=DEADLINE_HEADER,
             )
         return seconds
 
-    def marked_repeatable(self, default: bool = True) -> bool:
+    def is_marked_repeatable(self, default: bool = True) -> bool:
         """Whether the caller lets the request run again; `default` if it doesn't say."""
         text = self.header(REPEATABLE_HEADER).lower()
         if not text:
@@ -170,7 +170,7 @@
                 raise BadRequest("the body is shorter than its Content-Length")
             return body
         parts, size = [], 0
-        while part := source.read(_CHUNK):
+        while part := source.read(_CHUNK_BYTES):
             size += len(part)
             if size > self.body_limit:
                 raise BodyTooLarge(f"allowed are {self.body_limit} bytes")
--- a/whinrack/server/_operations.py
+++ b/whinrack/server/_operations.py
@@ -14,7 +14,7 @@
 
 __all__ = ["OperationsEndpoint"]
 
-_MOST_ADDRESSES = 8
+_MAX_ENTRY_ADDRESSES = 8
 
 
 class EntryReply(msgspec.Struct, frozen=True):
@@ -66,7 +66,7 @@
         members = self.context.table.entry_points(own, steady(), busy)
         home = members[0] if members else own
         reply = EntryReply(
-            addresses=[member.http_address for member in members[:_MOST_ADDRESSES]],
+            addresses=[member.http_address for member in members[:_MAX_ENTRY_ADDRESSES]],
             valid_seconds=self.context.settings.http.entry_seconds,
             ticket=encode_ticket(Ticket(home.incarnation)),
         )
@@ -93,9 +93,9 @@
     def ready(self) -> HttpAnswer:
         """Say whether the daemon has a configuration and isn't leaving."""
         state = self.context.state
-        if state.leaving:
+        if state.is_leaving:
             return json_answer(Health("leaving"), 503)
-        if not state.ready:
+        if not state.is_ready:
             return json_answer(Health("no configuration yet"), 503)
         return json_answer(Health("ready"))
 
@@ -111,7 +111,7 @@
 
     def _status(self) -> RouterStatus:
         context, now = self.context, steady()
-        targets = context.directory.targets()
+        targets = context.pool_directory.targets()
         grants = [
             GrantStatus(
                 ledger.budget,
@@ -120,16 +120,16 @@
                 ledger.is_closed,
                 ledger.has_unreported_totals,
             )
-            for ledger in context.keeper.ledgers()
+            for ledger in context.budget_manager.ledgers()
         ]
         return RouterStatus(
             incarnation=context.state.incarnation,
-            leaving=context.state.leaving,
+            leaving=context.state.is_leaving,
             newest=context.config.newest_version,
             requests_in_progress=context.state.in_progress,
             members=sorted(member.name for member in context.table.live_members(now)),
-            watching=context.state.watching,
-            leaving_targets=sorted(target.name for target in targets if target.leaving),
+            watching=context.state.is_watching,
+            leaving_targets=sorted(target.name for target in targets if target.is_leaving),
             ejected_targets=sorted(t.name for t in targets if t.ejection.is_ejected(now)),
             grants=grants,
             versions=context.config.versions(),
@@ -137,11 +137,11 @@
 
     def _set_gauges(self) -> None:
         context, metrics = self.context, self.context.metrics
-        ledgers = context.keeper.ledgers()
+        ledgers = context.budget_manager.ledgers()
         metrics.revision.set(context.config.newest_version)
         metrics.members.set(len(context.table.live_members(steady())))
         metrics.in_progress.set(context.state.in_progress)
         metrics.spendable.set(sum(ledger.spendable for ledger in ledgers))
         metrics.open_cover.set(sum(ledger.open_cover for ledger in ledgers))
-        metrics.journal_pending.set(context.bills.writer.pending_count)
+        metrics.journal_pending.set(context.bill_keeper.writer.pending_count)
         metrics.memory_entries.set(len(context.memory))
--- a/whinrack/server/_peer_handlers.py
+++ b/whinrack/server/_peer_handlers.py
@@ -16,15 +16,15 @@
     ConsultQuery,
     FeedSubscription,
     PeerHandlers,
-    PeerWord,
+    PeerReport,
 )
 from whinrack.requests import ConsultDecision, ConsultReply, HandoverEntry, RunState
 from whinrack.server._context import ServerContext
 
 __all__ = ["ChangeSignal", "DaemonHandlers"]
 
-_JOIN_POLL = 0.02
-_JOIN_LONGEST = 120.0
+_JOIN_POLL_SECONDS = 0.02
+_MAX_JOIN_SECONDS = 120.0
 
 
 class ChangeSignal(FeedSubscription):
@@ -51,7 +51,7 @@
     ----------
     context : ServerContext
         The daemon's parts.
-    drawer : AccountDrawer
+    account_writer : AccountDrawer
         Draws for peers.
     signal : ChangeSignal
         Tells of configuration changes.
@@ -62,23 +62,23 @@
     def __init__(
         self,
         context: ServerContext,
-        drawer: AccountWriter,
+        account_writer: AccountWriter,
         signal: ChangeSignal,
         on_leaving: Callable[[], None],
     ):
         self.context = context
-        self.drawer = drawer
+        self.account_writer = account_writer
         self.signal = signal
         self.on_leaving = on_leaving
         self.config = context.config
 
-    def heartbeat(self, sender: Member, leaving: Sequence[str]) -> PeerWord:
+    def receive_heartbeat(self, sender: Member, leaving: Sequence[str]) -> PeerReport:
         """Take in a peer's word and answer with one's own."""
-        self.take_word(sender, leaving)
+        self.record_report(sender, leaving)
         known = self.context.table.leaving_instances(steady())
-        return PeerWord(self.context.own_member(), sorted(known))
+        return PeerReport(self.context.own_member(), sorted(known))
 
-    def take_word(self, member: Member, leaving: Sequence[str]) -> None:
+    def record_report(self, member: Member, leaving: Sequence[str]) -> None:
         """Learn from a heartbeat or its reply."""
         now = steady()
         if self.context.table.record_heartbeat(member, now):
@@ -88,14 +88,16 @@
 
     def draw(self, order: DrawOrder) -> Result[DrawResult, PlatformFailure]:
         """Draw from the platform for a peer."""
-        result = self.drawer.draw(order)
+        result = self.account_writer.draw(order)
         label = result.failure().code if isinstance(result, Failure) else "ok"
         self.context.metrics.draws.labels("for_peer", label).inc()
         return result
 
-    def spare(self, budget: str, receiver: str, already_received: int, need: int, wish: int) -> int:
+    def give_tokens(
+        self, budget: str, receiver: str, already_received: int, need: int, wish: int
+    ) -> int:
         """Hand tokens to a peer; returns the cumulative total."""
-        return self.context.keeper.give(budget, receiver, already_received, need, wish)
+        return self.context.budget_manager.give(budget, receiver, already_received, need, wish)
 
     def consult(self, query: ConsultQuery) -> ConsultReply:
         """Tell whether a peer may run a request."""
@@ -110,23 +112,23 @@
             steady(),
         )
 
-    def inherit(self, home: str, entries: list[HandoverEntry]) -> None:
+    def take_over_memory(self, home: str, entries: list[HandoverEntry]) -> None:
         """Take over the memory of a home that stops as planned."""
         self.context.memory.take_over(home, entries, steady())
 
-    def join(self, identity: str) -> Iterator[AnswerPart]:
+    def join_answer(self, identity: str) -> Iterator[AnswerPart]:
         """Yield the answer of a request that runs or ran here."""
-        end = steady() + _JOIN_LONGEST
+        end = steady() + _MAX_JOIN_SECONDS
         while steady() < end:
             entry = self.context.memory.find(identity)
             if entry is None or entry.state in (RunState.NOT_RUN, RunState.CEDED):
                 raise PeerUnavailable("no such answer")
             if entry.answer is not None and entry.answer.status:
-                yield from _bounded(entry.answer.read())
+                yield from _refusals_as_peer_errors(entry.answer.read())
                 return
             if entry.state is RunState.UNKNOWN:
                 raise PeerUnavailable("no such answer")
-            eventlet.sleep(_JOIN_POLL)
+            eventlet.sleep(_JOIN_POLL_SECONDS)
         raise PeerUnavailable("no answer yet")
 
     def subscribe(self) -> FeedSubscription:
@@ -134,7 +136,7 @@
         return self.signal
 
 
-def _bounded(parts: Iterator[AnswerPart]) -> Iterator[AnswerPart]:
+def _refusals_as_peer_errors(parts: Iterator[AnswerPart]) -> Iterator[AnswerPart]:
     """Turn a refusal while reading into what the calling side understands."""
     try:
         yield from parts
--- a/whinrack/server/_policies.py
+++ b/whinrack/server/_policies.py
@@ -17,8 +17,8 @@
 
 __all__ = ["PolicyEvaluator"]
 
-_MOST_PROGRAMS = 1000
-_LONGEST_ERROR = 200
+_MAX_CACHED_PROGRAMS = 1000
+_MAX_ERROR_LENGTH = 200
 
 
 class PolicyEvaluator:
@@ -55,24 +55,24 @@
             return default
         now = steady()
         try:
-            program = self._program(policy.program)
+            program = self._compile(policy.program)
         except PolicyFailure as error:
-            return self._failed(name, error, default)
+            return self._fall_back(name, error, default)
         pools = {key: pool.facts(now) for key, pool in serving.items()}
         decided = program.decide(facts, pools)
         if isinstance(decided, Failure):
-            return self._failed(name, decided.failure(), default)
+            return self._fall_back(name, decided.failure(), default)
         return decided.unwrap()
 
-    def _program(self, source: str) -> RoutingProgram:
+    def _compile(self, source: str) -> RoutingProgram:
         program = self._programs.get(source)
         if program is None:
-            if len(self._programs) >= _MOST_PROGRAMS:
+            if len(self._programs) >= _MAX_CACHED_PROGRAMS:
                 self._programs.clear()
             program = self._programs[source] = RoutingProgram(source)
         return program
 
-    def _failed(self, name: str, error: PolicyFailure, default: RouteDecision) -> RouteDecision:
+    def _fall_back(self, name: str, error: PolicyFailure, default: RouteDecision) -> RouteDecision:
         self.metrics.policy_failures.labels(name).inc()
-        log_event(Event.POLICY_FAILED, policy=name, error=error.message[:_LONGEST_ERROR])
+        log_event(Event.POLICY_FAILED, policy=name, error=error.message[:_MAX_ERROR_LENGTH])
         return default
--- a/whinrack/server/_protocol.py
+++ b/whinrack/server/_protocol.py
@@ -10,14 +10,14 @@
     """Closes connections whose headers take too long, and kept ones of a leaving router."""
 
     header_timeout = 10.0
-    leaving = False
+    is_leaving = False
 
     def parse_request(self) -> bool:
         """Read the headers within the time allowed."""
         timeout = eventlet.Timeout(self.header_timeout)
         try:
             parsed = super().parse_request()
-            if self.leaving:
+            if self.is_leaving:
                 self.close_connection = True
             return parsed
         except eventlet.Timeout as raised:
--- a/whinrack/server/_services.py
+++ b/whinrack/server/_services.py
@@ -33,7 +33,7 @@
     "upgrade",
 }
 _NOT_FORWARDED = _HOP_BY_HOP | {"authorization", "host", "content-length", "expect"}
-_HELD = 65_536
+_READ_AHEAD_BYTES = 65_536
 
 
 class ServiceCall(Call):
@@ -58,11 +58,11 @@
     def handle(self, request: HttpRequest, caller: Caller, identity: RequestIdentity) -> HttpAnswer:
         """Answer one request."""
         name, _, path = request.path.removeprefix(SERVICES_PREFIX).partition("/")
-        pool = self.context.directory.pools().get(name)
+        pool = self.context.pool_directory.pools().get(name)
         if pool is None or pool.spec.protocol is not Protocol.SERVICE:
             raise UnknownPool(f"no service pool is named {name[:80]!r}")
         body = request.read_body()
-        marked = request.marked_repeatable(default=request.method in _IDEMPOTENT_METHODS)
+        marked = request.is_marked_repeatable(default=request.method in _IDEMPOTENT_METHODS)
         facts = RequestFacts(
             workspace=caller.workspace_name,
             request_class=request_class_of(request, caller),
@@ -80,7 +80,7 @@
             body=body,
             digest_parts=(request.method.encode(), target.encode(), body),
             deadline=deadline_of(request, pool.spec),
-            repeatable=marked and decision.repeatable and (pool.spec.repeatable or safe),
+            is_repeatable=marked and decision.repeatable and (pool.spec.repeatable or safe),
             affinity_key=caller.workspace_name,
             request=request,
         )
@@ -89,65 +89,67 @@
     def start(self, call: Call) -> HttpAnswer:
         """Send a request that runs here."""
         while True:
-            slot = self.place(call)
+            slot = self.acquire_slot(call)
             reply = self.send(call, slot, call.target_path, _forwarded_headers(call))
-            answer = self._answer(call, reply)
+            answer = self._process_reply(call, reply)
             if not isinstance(answer, Failure):
                 return answer.unwrap()
             refusal = answer.failure()
             slot.release()
-            if not self.may_retry(call, refusal):
+            if not self.prepare_retry(call, refusal):
                 raise refusal
 
-    def _answer(self, call: Call, reply: Result) -> Result[HttpAnswer, Refusal]:
+    def _process_reply(self, call: Call, reply: Result) -> Result[HttpAnswer, Refusal]:
         if isinstance(reply, Failure):
             return reply
         response = reply.unwrap()
         if refused_unstarted(response) and response.headers.get("Whinrack-Started") == "no":
             response.close()
             call.slot.target.record_overload()
-            call.slot.target.back_off(retry_after(response), steady())
+            call.slot.target.start_backoff(retry_after(response), steady())
             return Failure(TargetUnavailable("the target is busy", retry_after=1.0))
         chunks = body_chunks(response)
         try:
-            held, ended = _read_ahead(chunks)
+            data, is_whole = _read_ahead(chunks)
         except AnswerCut as cut:
             response.close()
             return Failure(cut)
         call.slot.target.record_success(steady())
-        self.context.metrics.first_byte.labels(self.kind).observe(steady() - call.request.arrived)
+        self.context.metrics.first_byte.labels(self.kind).observe(
+            steady() - call.request.arrived_at
+        )
         headers = _returned_headers(response)
         headers += answer_headers(call.identity.request_id, call.attempts, Outcome.RAN)
-        if ended and call.request.method != "HEAD":
-            headers.append(("Content-Length", str(len(held))))
+        if is_whole and call.request.method != "HEAD":
+            headers.append(("Content-Length", str(len(data))))
         call.answer.start(response.status, headers)
-        if ended:
+        if is_whole:
             response.release_conn()
-            call.answer.append(held)
-            self.finish(call, whole=True)
-            return Success(HttpAnswer(response.status, headers, [held]))
-        body = self._relay(call, response, held, chunks)
+            call.answer.append(data)
+            self.finish(call, is_complete=True)
+            return Success(HttpAnswer(response.status, headers, [data]))
+        body = self._relay(call, response, data, chunks)
         return Success(HttpAnswer(response.status, headers, self.caller_stream(call, body)))
 
-    def _relay(self, call: Call, response, held: bytes, chunks: Iterator[bytes]):
+    def _relay(self, call: Call, response, data: bytes, chunks: Iterator[bytes]):
         """Yield a long body; a cut one ends the connection, so that it isn't whole."""
-        whole = False
+        is_complete = False
         try:
-            call.answer.append(held)
-            yield held
+            call.answer.append(data)
+            yield data
             for chunk in chunks:
                 call.answer.append(chunk)
                 yield chunk
-            whole = True
+            is_complete = True
         except TargetFailed:
             self.context.metrics.answers_dropped.labels("cut").inc()
             raise
         finally:
-            if whole:
+            if is_complete:
                 response.release_conn()
             else:
                 response.close()
-            self.finish(call, whole)
+            self.finish(call, is_complete)
 
 
 def _read_ahead(chunks: Iterator[bytes]) -> tuple[bytes, bool]:
@@ -156,7 +158,7 @@
     for chunk in chunks:
         parts.append(chunk)
         size += len(chunk)
-        if size >= _HELD:
+        if size >= _READ_AHEAD_BYTES:
             return b"".join(parts), False
     return b"".join(parts), True
 
--- a/whinrack/server/_settlement.py
+++ b/whinrack/server/_settlement.py
@@ -25,7 +25,7 @@
         Who pays.
     identity : Identity
         What the bill is for.
-    bound : int
+    token_bound : int
         The proved bound on the request's tokens.
     provisional_against : str
         A lost incarnation that may have billed the request too, "" if there is none.
@@ -36,13 +36,13 @@
         context: ServerContext,
         caller: Caller,
         identity: RequestIdentity,
-        bound: int,
+        token_bound: int,
         provisional_against: str,
     ):
         self.context = context
         self.caller = caller
         self.identity = identity
-        self.bound = bound
+        self.token_bound = token_bound
         self.provisional_against = provisional_against
         self._cover: Cover | None = None
         self._mark = 0
@@ -55,10 +55,10 @@
         BudgetExhausted, BudgetContended
         """
         caller = self.caller
-        cover = self.context.keeper.cover(
+        cover = self.context.budget_manager.cover(
             caller.budget.account,
             caller.budget_name,
-            self.bound,
+            self.token_bound,
             caller.workspace.weighting,
         )
         if isinstance(cover, Failure):
@@ -91,7 +91,7 @@
             if usage.total_tokens > cover.tokens:
                 log_event(Event.COVER_EXCEEDED, budget=self.caller.budget_name)
         cover.settle(billed, unproven)
-        self._count(billed, unproven)
+        self._count_tokens(billed, unproven)
         record = BillRecord(
             identity=self.identity.name,
             workspace=self.caller.workspace_name,
@@ -99,7 +99,7 @@
             tokens=billed,
             provisional_against=self.provisional_against,
         )
-        self._mark = self.context.bills.add(record)
+        self._mark = self.context.bill_keeper.add(record)
 
     def write_off(self, usage: Usage | None) -> None:
         """Take the tokens of a try that may have run out of use, without a bill."""
@@ -108,25 +108,27 @@
             return
         lost = cover.tokens if usage is None else min(usage.total_tokens, cover.tokens)
         cover.settle(0, lost)
-        self._count(0, lost)
+        self._count_tokens(0, lost)
         self._cover = None
 
-    def abandon(self) -> None:
+    def release(self) -> None:
         """Give the whole cover back: nothing was sent."""
         if self._cover is not None:
             self._cover.settle(0)
 
-    def wait_kept(self) -> None:
+    def wait_committed(self) -> None:
         """Wait until the bill is kept, as long as the settings say."""
         if not self._mark:
             return
         started = steady()
-        kept = self.context.bills.wait_kept(self._mark, self.context.settings.journal.answer_wait)
-        self.context.metrics.bills.labels("kept" if kept else "unconfirmed").inc()
-        if not kept:
+        is_committed = self.context.bill_keeper.wait_committed(
+            self._mark, self.context.settings.journal.answer_wait
+        )
+        self.context.metrics.bills.labels("kept" if is_committed else "unconfirmed").inc()
+        if not is_committed:
             waited = steady() - started
             log_event(Event.BILL_UNCONFIRMED, waited=f"{waited:.2f}")
 
-    def _count(self, billed: int, unproven: int) -> None:
+    def _count_tokens(self, billed: int, unproven: int) -> None:
         self.context.metrics.tokens.labels("billed").inc(billed)
         self.context.metrics.tokens.labels("unproven").inc(unproven)
--- a/whinrack/server/_streams.py
+++ b/whinrack/server/_streams.py
@@ -36,15 +36,15 @@
 
     def close(self) -> None:
         """End or detach the body; the server calls this in every case."""
-        if self.call.ended or not self.call.identity.has_caller_key:
+        if self.call.has_ended or not self.call.identity.has_caller_key:
             self.body.close()
             return
-        eventlet.spawn_n(self._run_on)
+        eventlet.spawn_n(self._run_detached)
 
-    def _run_on(self) -> None:
+    def _run_detached(self) -> None:
         end = steady() + self.grace
         for _ in self.body:
-            if self.call.answer.readers or not self.call.repeatable:
+            if self.call.answer.reader_count or not self.call.is_repeatable:
                 end = steady() + self.grace
             if steady() >= end:
                 break
--- a/whinrack/server/_tasks.py
+++ b/whinrack/server/_tasks.py
@@ -18,13 +18,13 @@
 __all__ = ["BackgroundTasks"]
 
 _LOAD_INTERVAL = 1.0
-_TICK = 0.1
+_WAKE_INTERVAL = 0.1
 _RESTART_PAUSE = 0.5
 _FORGET_AFTER = 60.0
 _HEARTBEAT_FANOUT = 12
-_BEHIND_BEATS = 2
-_SAME_BEAT = 0.9
-_MOST_LOADS_READ = 64
+_MAX_BEATS_BEHIND = 2
+_RECENT_INTERVAL_SHARE = 0.9
+_MAX_LOAD_READS = 64
 
 
 class BackgroundTasks:
@@ -53,25 +53,25 @@
         self.handlers = handlers
         self.follower = follower
         self.store = store
-        self._platform_up = True
+        self._is_platform_up = True
         self._round = 0
-        self._behind = 0
-        self._alive: set[str] = set()
-        self._closed: set[str] = set()
+        self._beats_behind = 0
+        self._alive_names: set[str] = set()
+        self._closed_budgets: set[str] = set()
 
     def start(self) -> None:
         """Start every task."""
         membership = self.context.settings.membership
         budgets = self.context.settings.budgets
-        self._every(membership.heartbeat_interval, self.beat)
-        self._every(membership.list_interval, self.read_list)
-        self._every(_LOAD_INTERVAL, self.read_loads)
-        self._every(budgets.check_interval, self.report_tokens)
-        self._every(_TICK, self.context.directory.wake_all)
-        self._every(_RESTART_PAUSE, self.follower.run)
-        self._every(_RESTART_PAUSE, self.context.bills.run)
-
-    def beat(self, everyone: bool = False) -> None:
+        self._run_periodically(membership.heartbeat_interval, self.beat)
+        self._run_periodically(membership.list_interval, self.read_list)
+        self._run_periodically(_LOAD_INTERVAL, self.read_loads)
+        self._run_periodically(budgets.check_interval, self.report_tokens)
+        self._run_periodically(_WAKE_INTERVAL, self.context.pool_directory.wake_all)
+        self._run_periodically(_RESTART_PAUSE, self.follower.run)
+        self._run_periodically(_RESTART_PAUSE, self.context.bill_keeper.run)
+
+    def beat(self, to_all_peers: bool = False) -> None:
         """Send heartbeats, and notice who is lost.
 
         A heartbeat and its reply tell both sides, so a peer that was heard from within
@@ -80,57 +80,59 @@
         own = self.context.own_member()
         leaving = sorted(self.context.table.leaving_instances(steady()))
         pool = eventlet.GreenPool(_HEARTBEAT_FANOUT)
-        for address in self._beat_addresses(everyone):
-            pool.spawn_n(self._beat_one, address, own, leaving)
+        for address in self._heartbeat_addresses(to_all_peers):
+            pool.spawn_n(self._send_heartbeat, address, own, leaving)
         pool.waitall()
-        self._notice_lost()
-        self._catch_up()
+        self._log_lost_members()
+        self._fetch_newer_config()
 
     def read_list(self) -> None:
         """Read the platform's list of instances."""
         result = self.store.instances()
-        if isinstance(result, Success) != self._platform_up:
-            self._platform_up = not self._platform_up
-            log_event(Event.PLATFORM_BACK if self._platform_up else Event.PLATFORM_LOST)
+        if isinstance(result, Success) != self._is_platform_up:
+            self._is_platform_up = not self._is_platform_up
+            log_event(Event.PLATFORM_BACK if self._is_platform_up else Event.PLATFORM_LOST)
         if isinstance(result, Success):
             self.context.table.update_from_list(result.unwrap(), steady())
             self.update_leaving()
 
     def report_tokens(self) -> None:
         """Report settled tokens, and notice grants that an operator released."""
-        self.context.keeper.report()
-        for ledger in self.context.keeper.ledgers():
-            if ledger.is_closed and ledger.budget not in self._closed:
-                self._closed.add(ledger.budget)
+        self.context.budget_manager.report()
+        for ledger in self.context.budget_manager.ledgers():
+            if ledger.is_closed and ledger.budget not in self._closed_budgets:
+                self._closed_budgets.add(ledger.budget)
                 log_event(Event.GRANT_CLOSED, budget=ledger.budget)
 
     def update_leaving(self) -> None:
         """Let the pools know which instances leave."""
-        self.context.directory.set_leaving(self.context.table.leaving_instances(steady()))
+        self.context.pool_directory.set_leaving_instances(
+            self.context.table.leaving_instances(steady())
+        )
 
     def read_loads(self) -> None:
         """Read the load reports of the chat targets."""
         pool = eventlet.GreenPool(_HEARTBEAT_FANOUT)
         specs = self.context.config.specs_of_kind(TargetPool)
-        for target in self._read_targets():
+        for target in self._targets_to_read():
             spec = specs.get(target.spec.pool)
             if spec is not None and spec.models:
                 pool.spawn_n(self._read_load, target)
         pool.waitall()
 
-    def _read_targets(self) -> list[TargetView]:
+    def _targets_to_read(self) -> list[TargetView]:
         """Return the targets to ask: all of few, of many those with most work of ours."""
-        targets = self.context.directory.targets()
-        if len(targets) <= _MOST_LOADS_READ:
+        targets = self.context.pool_directory.targets()
+        if len(targets) <= _MAX_LOAD_READS:
             return targets
-        return heapq.nlargest(_MOST_LOADS_READ, targets, key=lambda target: target.in_flight)
+        return heapq.nlargest(_MAX_LOAD_READS, targets, key=lambda target: target.in_flight)
 
     def _read_load(self, target) -> None:
-        load = self.context.targets.load(target.spec.address)
+        load = self.context.target_client.load(target.spec.address)
         if load is not None:
-            self.context.directory.report(target, load)
+            self.context.pool_directory.record_load(target, load)
 
-    def _beat_addresses(self, everyone: bool) -> list[str]:
+    def _heartbeat_addresses(self, to_all_peers: bool) -> list[str]:
         """Return all peers of a small fleet, or a turning part of a large one."""
         settings = self.context.settings
         seeds = settings.peer.seeds.split()
@@ -139,8 +141,8 @@
             for address in self.context.table.heartbeat_addresses(seeds)
             if address != settings.peer.address
         ]
-        if not everyone:
-            recent = steady() - _SAME_BEAT * settings.membership.heartbeat_interval
+        if not to_all_peers:
+            recent = steady() - _RECENT_INTERVAL_SHARE * settings.membership.heartbeat_interval
             heard = self.context.table.addresses_heard_since(recent)
             addresses = [address for address in addresses if address not in heard]
         if len(addresses) <= settings.membership.full_mesh_limit:
@@ -149,33 +151,33 @@
         start = self._round * _HEARTBEAT_FANOUT % len(addresses)
         return (addresses + addresses)[start : start + _HEARTBEAT_FANOUT]
 
-    def _beat_one(self, address: str, own, leaving: list[str]) -> None:
-        reply = self.context.peers.heartbeat(address, own, leaving)
+    def _send_heartbeat(self, address: str, own, leaving: list[str]) -> None:
+        reply = self.context.peer_client.send_heartbeat(address, own, leaving)
         if isinstance(reply, Failure):
             return
-        word = reply.unwrap()
-        self.handlers.take_word(word.member, word.leaving)
+        report = reply.unwrap()
+        self.handlers.record_report(report.member, report.leaving_instances)
 
-    def _notice_lost(self) -> None:
+    def _log_lost_members(self) -> None:
         now = steady()
         alive = {member.name for member in self.context.table.live_members(now)}
-        for name in self._alive - alive:
+        for name in self._alive_names - alive:
             log_event(Event.MEMBER_LOST, member=name)
-        self._alive = alive
+        self._alive_names = alive
         self.context.table.remove_silent(now, _FORGET_AFTER)
 
-    def _catch_up(self) -> None:
+    def _fetch_newer_config(self) -> None:
         """Fetch from a peer that has had newer configuration for some heartbeats."""
         members = self.context.table.live_members(steady())
         newest = max(members, key=lambda member: member.revision, default=None)
         if newest is None or newest.revision <= self.context.config.newest_version:
-            self._behind = 0
+            self._beats_behind = 0
             return
-        self._behind += 1
-        if self._behind >= _BEHIND_BEATS:
+        self._beats_behind += 1
+        if self._beats_behind >= _MAX_BEATS_BEHIND:
             self.follower.catch_up(newest.peer_address)
 
-    def _every(self, seconds: float, function: Callable[[], object]) -> None:
+    def _run_periodically(self, seconds: float, function: Callable[[], object]) -> None:
         def loop() -> None:
             while True:
                 try:
--- a/whinrack/server/_token_sources.py
+++ b/whinrack/server/_token_sources.py
@@ -19,86 +19,86 @@
 from whinrack.observability import Metrics
 from whinrack.peers import PeerClient
 
-__all__ = ["PeerSpares", "RegionSource"]
+__all__ = ["PeerTokenSource", "RegionTokenSource"]
 
-_MOST_ASKED = 16
+_MAX_PEERS_ASKED = 16
 
 
-class RegionSource(TokenSource):
+class RegionTokenSource(TokenSource):
     """Sends orders to the region's drawer, or draws itself where that fails.
 
     An order may reach the books by both ways; its sequence makes it count once.
 
     Parameters
     ----------
-    own : callable
+    own_member : callable
         Returns this daemon's member record.
     """
 
     def __init__(
         self,
-        own,
+        own_member,
         table: MembershipTable,
-        peers: PeerClient,
-        drawer: AccountWriter,
+        peer_client: PeerClient,
+        account_writer: AccountWriter,
         metrics: Metrics,
     ):
-        self.own = own
+        self.own_member = own_member
         self.table = table
-        self.peers = peers
-        self.drawer = drawer
+        self.peer_client = peer_client
+        self.account_writer = account_writer
         self.metrics = metrics
 
     def draw(self, order: DrawOrder) -> Result[DrawResult, WhinrackError]:
         """Apply an order and return the books' state."""
-        own = self.own()
+        own = self.own_member()
         chosen = self.table.drawing_incarnation(own, order.account, steady())
         member = None if chosen == own.incarnation else self.table.find(chosen)
         if member is not None:
-            result = self.peers.draw(member.peer_address, order)
-            self._count("peer", result)
+            result = self.peer_client.draw(member.peer_address, order)
+            self._count_draw("peer", result)
             if not isinstance(result, Failure):
                 return result
-        result = self.drawer.draw(order)
-        self._count("platform", result)
+        result = self.account_writer.draw(order)
+        self._count_draw("platform", result)
         return result
 
-    def _count(self, path: str, result: Result) -> None:
+    def _count_draw(self, path: str, result: Result) -> None:
         label = result.failure().code if isinstance(result, Failure) else "ok"
         self.metrics.draws.labels(path, label).inc()
 
 
-class PeerSpares(SpareTokenSource):
+class PeerTokenSource(SpareTokenSource):
     """Asks the peers that look alive, all at once, the own region's first.
 
     Parameters
     ----------
-    own : callable
+    own_member : callable
         Returns this daemon's member record.
     """
 
-    def __init__(self, own, table: MembershipTable, peers: PeerClient):
-        self.own = own
+    def __init__(self, own_member, table: MembershipTable, peer_client: PeerClient):
+        self.own_member = own_member
         self.table = table
-        self.peers = peers
+        self.peer_client = peer_client
 
     def request_from_peers(
         self, budget: str, need: int, wish: int, received: dict[str, int]
     ) -> Iterable[TransferTotal]:
         """Ask peers for tokens and yield what each has given in all."""
-        own = self.own()
+        own = self.own_member()
         members = self.table.live_members(steady())
         members.sort(key=lambda member: (member.region != own.region, member.name))
-        pool = eventlet.GreenPool(_MOST_ASKED)
+        pool = eventlet.GreenPool(_MAX_PEERS_ASKED)
         missing = need
 
         def ask(member: Member) -> TransferTotal:
             known = received.get(member.incarnation, 0)
-            reply = self.peers.spare(
+            reply = self.peer_client.request_tokens(
                 member.peer_address, budget, own.incarnation, known, max(0, missing), wish
             )
             return TransferTotal(member.incarnation, reply.value_or(known))
 
-        for spare in pool.imap(ask, members[:_MOST_ASKED]):
-            missing -= max(0, spare.total - received.get(spare.giver, 0))
-            yield spare
+        for transfer in pool.imap(ask, members[:_MAX_PEERS_ASKED]):
+            missing -= max(0, transfer.total - received.get(transfer.giver, 0))
+            yield transfer
--- a/whinrack/server/tests/test_ownership.py
+++ b/whinrack/server/tests/test_ownership.py
@@ -10,7 +10,7 @@
 from whinrack.membership import Member
 from whinrack.observability import Metrics
 from whinrack.requests import RequestIdentity, RequestMemory, RunState, body_digest
-from whinrack.server._ownership import JoinHere, JoinPeer, Ownership, RunHere
+from whinrack.server._ownership import JoinHere, JoinPeer, OwnershipResolver, RunHere
 
 IDENTITY = RequestIdentity.from_header("w", "same")
 DIGEST = body_digest(b"body")
@@ -48,29 +48,29 @@
         self.lost = set()
         self.before_answer = {}
         self.on_the_way = {}
-        self.owners = {name: Ownership(self._context(name, names)) for name in names}
+        self.owners = {name: OwnershipResolver(self._context(name, names)) for name in names}
 
-    def settle(self, name):
-        return self.owners[name].settle(IDENTITY, DIGEST, ticket=None, repeatable=True)
+    def resolve(self, name):
+        return self.owners[name].resolve(IDENTITY, DIGEST, ticket=None, is_repeatable=True)
 
     def consult(self, address, query):
-        happens = self.before_answer.pop(address, None)
-        if happens is not None:
-            happens()
+        callback = self.before_answer.pop(address, None)
+        if callback is not None:
+            callback()
         if address in self.lost:
             return Failure(PeerUnavailable("lost"))
-        verdict = self.memories[address].consult(
+        reply = self.memories[address].consult(
             query.identity, query.digest, query.asker, query.lost_owner, query.repeatable, 0.0
         )
         self.on_the_way.pop(address, lambda: None)()
-        return Success(verdict)
+        return Success(reply)
 
     def _context(self, name, names):
         return SimpleNamespace(
             memory=self.memories[name],
             state=SimpleNamespace(incarnation=name),
             table=FixedTable(names),
-            peers=SimpleNamespace(consult=self.consult),
+            peer_client=SimpleNamespace(consult=self.consult),
             metrics=Metrics(),
             own_member=lambda: Member(incarnation=name, name=name),
         )
@@ -83,61 +83,61 @@
 
 def test_a_home_that_has_ceded_a_request_does_not_cede_it_again_while_it_asks(fleet):
     """Its own caller comes after the first asker's, and a third while it asks the first."""
-    decisions = {"a": fleet.settle("a")}
-    fleet.before_answer["a"] = lambda: decisions.update(b=fleet.settle("b"))
-    decisions[HOME] = fleet.settle(HOME)
+    decisions = {"a": fleet.resolve("a")}
+    fleet.before_answer["a"] = lambda: decisions.update(b=fleet.resolve("b"))
+    decisions[HOME] = fleet.resolve(HOME)
     assert decisions["a"] == RunHere()
     assert isinstance(decisions["b"], JoinPeer) and decisions["b"].member.name == "a"
     assert isinstance(decisions[HOME], JoinPeer) and decisions[HOME].member.name == "a"
 
 
 def test_two_callers_of_a_home_whose_owner_is_lost_get_one_run(fleet):
-    fleet.settle("a")
+    fleet.resolve("a")
     fleet.lost.add("a")
     second = []
-    fleet.before_answer["a"] = lambda: second.append(fleet.settle(HOME))
-    first = fleet.settle(HOME)
+    fleet.before_answer["a"] = lambda: second.append(fleet.resolve(HOME))
+    first = fleet.resolve(HOME)
     kinds = sorted(type(decision).__name__ for decision in (first, *second))
     assert kinds == ["JoinHere", "RunHere"]
 
 
 def test_a_lost_owner_is_replaced_by_one_instance_only(fleet):
     """The home finds the owner lost while another instance finds the same."""
-    fleet.settle("a")
+    fleet.resolve("a")
     fleet.lost.add("a")
     decisions = {}
-    fleet.before_answer["a"] = lambda: decisions.update(b=fleet.settle("b"))
-    decisions[HOME] = fleet.settle(HOME)
+    fleet.before_answer["a"] = lambda: decisions.update(b=fleet.resolve("b"))
+    decisions[HOME] = fleet.resolve(HOME)
     assert isinstance(decisions["b"], RunHere) and decisions["b"].provisional_against == "a"
     assert isinstance(decisions[HOME], JoinPeer) and decisions[HOME].member.name == "b"
 
 
 def test_a_refused_decision_leaves_the_owner_known_before(fleet):
-    fleet.settle("a")
+    fleet.resolve("a")
     fleet.lost.add("a")
     owner = fleet.owners[HOME]
     with pytest.raises(Exception, match="can't be reached"):
-        owner.settle(IDENTITY, DIGEST, ticket=None, repeatable=False)
+        owner.resolve(IDENTITY, DIGEST, ticket=None, is_repeatable=False)
     entry = fleet.memories[HOME].find(IDENTITY.name)
     assert (entry.owner, entry.state) == ("a", RunState.CEDED)
 
 
 def test_an_owner_to_be_is_waited_for_while_it_learns_of_its_ownership(fleet):
     """The owner has ceded the request to its home, which hasn't heard so yet."""
-    fleet.settle("a")
+    fleet.resolve("a")
     fleet.memories["a"].set_state(IDENTITY.name, RunState.NOT_RUN, 0.0)
     waiting = []
 
     def third_asks():
-        waiting.append(eventlet.spawn(fleet.settle, "b"))
+        waiting.append(eventlet.spawn(fleet.resolve, "b"))
         eventlet.sleep(0)
 
     fleet.on_the_way["a"] = third_asks
-    assert fleet.settle(HOME) == RunHere()
+    assert fleet.resolve(HOME) == RunHere()
     third = waiting[0].wait()
     assert isinstance(third, JoinPeer) and third.member.name == HOME
 
 
 def test_a_second_caller_of_the_same_instance_joins(fleet):
-    assert isinstance(fleet.settle("a"), RunHere)
-    assert isinstance(fleet.settle("a"), JoinHere)
+    assert isinstance(fleet.resolve("a"), RunHere)
+    assert isinstance(fleet.resolve("a"), JoinHere)
