--- a/whinrack/server/__init__.py
+++ b/whinrack/server/__init__.py
@@ -1,4 +1,4 @@
-"""The daemon: its callers' side, its peers' side and its background tasks."""
+"""The router daemon: HTTP endpoints, peer handlers and background tasks."""
 
 from whinrack.server._daemon import RouterDaemon
 
--- a/whinrack/server/_admission.py
+++ b/whinrack/server/_admission.py
@@ -1,4 +1,4 @@
-"""Puts requests on targets: the pools' decisions driven by green threads."""
+"""Admission of requests to targets: applies the pools' decisions in green threads."""
 
 from eventlet.semaphore import Semaphore
 from returns.result import Failure, Result, Success
@@ -25,7 +25,7 @@
 
 
 class Slot:
-    """A request's place at a target, until it is released."""
+    """A slot at a target that a request occupies until it is released."""
 
     def __init__(self, directory: "PoolDirectory", pool: PoolState, target: TargetView):
         self.directory = directory
@@ -35,7 +35,7 @@
         self.is_released = False
 
     def release(self) -> None:
-        """Give the place back; only the first call counts."""
+        """Release the slot; further calls have no effect."""
         if self.is_released:
             return
         self.is_released = True
@@ -45,16 +45,16 @@
 
 
 class PoolDirectory:
-    """The pools in force, and who waits for them.
+    """The declared pools, and admission to their targets.
 
     Parameters
     ----------
     config : ConfigStore
-        Declares pools and targets.
+        Holds the declared pools and targets.
     metrics : Metrics
         Counts waits and ejections.
     seed : int, optional
-        Seeds the pickers.
+        Seed of the pickers.
     """
 
     def __init__(self, config: ConfigStore, metrics: Metrics, seed: int | None = None):
@@ -65,7 +65,7 @@
         self._leaving_instances: set[str] = set()
 
     def apply_config(self) -> None:
-        """Follow the declarations in force."""
+        """Update pools and targets from the declarations in force."""
         specs = self.config.specs_of_kind(TargetPool)
         for name in set(self._pools) - set(specs):
             del self._pools[name]
@@ -78,7 +78,7 @@
         self._rebuild_targets()
 
     def set_leaving_instances(self, instances: set[str]) -> None:
-        """Take in which instances leave, from the list and from peers."""
+        """Set the leaving instances, as known from the platform's list and from peers."""
         if instances == self._leaving_instances:
             return
         self._leaving_instances = set(instances)
@@ -103,7 +103,11 @@
     def admit(
         self, decision: RouteDecision, query: PickQuery, deadline: float
     ) -> Result[Slot, Refusal]:
-        """Find a place, waiting for one in the first pool that is alive."""
+        """Acquire a slot, waiting in the first pool with an available target if need be.
+
+        Pools are tried in the order of the decision. No pool is tried in which requests of
+        the same or a more urgent class wait already.
+        """
         pools = [self._pools[name] for name in decision.pools if name in self._pools]
         now = steady()
         for pool in pools:
@@ -120,14 +124,14 @@
             ]
             return Failure(
                 TargetUnavailable(
-                    "no target of the allowed pools takes work",
+                    "no target of the allowed pools accepts requests",
                     retry_after=min(waits, default=_NO_TARGET_RETRY_AFTER),
                 )
             )
         return self._wait_in_queue(available[0], query, min(deadline, now + decision.wait), now)
 
     def record_load(self, target: TargetView, load: EngineLoad) -> None:
-        """Take in a load report."""
+        """Record a target's load report."""
         was_leaving = target.is_leaving
         target.has_reported_leaving = load.leaving
         target.report = LoadReport(load.running, load.waiting, steady(), target.in_flight)
@@ -135,7 +139,7 @@
             log_event(Event.TARGET_LEAVING, target=target.name, source="report")
 
     def record_failure(self, target: TargetView) -> None:
-        """Take in a connection that failed or broke."""
+        """Record a failed or broken connection to a target."""
         now = steady()
         before = target.ejection.is_ejected(now)
         target.record_failure(now)
@@ -144,13 +148,13 @@
             log_event(Event.TARGET_EJECTED, target=target.name)
 
     def wake_first(self, pool: PoolState) -> None:
-        """Let the first waiter of a pool try."""
+        """Wake the first request in the queue of a pool, so that it tries for a slot."""
         queued = pool.queue.peek(steady())
         if queued is not None:
             queued.wake()
 
     def wake_all(self) -> None:
-        """Let the first waiter of each pool try: limits and reports may have changed."""
+        """Wake the first request of each queue, as limits and loads may have changed."""
         for pool in self._pools.values():
             self.wake_first(pool)
 
@@ -175,7 +179,9 @@
             if seconds_left <= 0:
                 wait = pool.queue.expected_wait(len(pool.queue), pool.slots(now))
                 return Failure(
-                    DeadlineUnreachable("waited as long as allowed", retry_after=max(1.0, wait))
+                    DeadlineUnreachable(
+                        "no slot became free within the allowed wait", retry_after=max(1.0, wait)
+                    )
                 )
             if not semaphore.acquire(timeout=seconds_left):
                 continue
--- a/whinrack/server/_answers.py
+++ b/whinrack/server/_answers.py
@@ -1,4 +1,4 @@
-"""Answers that are kept while and after they run, so that a retry can join them."""
+"""Answers that are kept during and after their run, so that retries can join them."""
 
 from collections import OrderedDict
 from collections.abc import Iterator
@@ -15,13 +15,13 @@
 
 
 class SharedAnswer:
-    """One answer, filled by whoever runs the request, read by any number of retries.
+    """One answer, written by the call that runs the request and read by its retries.
 
     Parameters
     ----------
     limit : int
-        Bytes that are kept; a longer answer can't be joined from its start. 0 for an
-        answer that nobody can ask for again.
+        Maximum size of the kept body in bytes. The body of a longer answer is discarded,
+        and retries can't join it. 0 for a request without a key, which has no retries.
     """
 
     def __init__(self, limit: int):
@@ -43,7 +43,7 @@
         self._notify()
 
     def append(self, data: bytes) -> None:
-        """Add a piece of the body; does nothing once the body was forgotten."""
+        """Add a part of the body; does nothing after the body was discarded."""
         if not self.is_kept:
             return
         self.size += len(data)
@@ -55,26 +55,32 @@
             self._notify()
 
     def finish(self, is_complete: bool) -> None:
-        """End the answer."""
+        """Mark the end of the answer.
+
+        Parameters
+        ----------
+        is_complete : bool
+            False if the answer was cut.
+        """
         self.is_finished = True
         self.is_complete = is_complete
         self._notify()
 
     def discard_body(self) -> None:
-        """Forget the body."""
+        """Discard the body, and all further parts of it."""
         self.is_kept = False
         self._chunks.clear()
         self._notify()
 
     def read(self) -> Iterator[AnswerPart]:
-        """Yield the answer from its start, waiting for more until its end.
+        """Yield the answer from its start, and wait for more until its end.
 
         Raises
         ------
         AnswerNotKept
-            If the body was forgotten.
+            If the body was discarded.
         PeerUnavailable
-            If the answer ends without being whole.
+            If the answer ends before it is complete, or stalls.
         """
         self.reader_count += 1
         try:
@@ -87,7 +93,7 @@
         started = False
         while True:
             if not self.is_kept:
-                raise AnswerNotKept("the request ran; its answer is too long or too old to keep")
+                raise AnswerNotKept("the request ran; its answer is too long or too old to be kept")
             if self.status and not started:
                 started = True
                 yield AnswerPart(status=self.status, headers=self.headers)
@@ -100,11 +106,11 @@
             else:
                 self._wait()
         if not self.is_complete:
-            raise PeerUnavailable("the answer was cut")
+            raise PeerUnavailable("the answer ended before it was complete")
         yield AnswerPart(is_final=True)
 
     def _wait(self) -> None:
-        with Timeout(_IDLE_TIMEOUT, PeerUnavailable("the answer fell silent")):
+        with Timeout(_IDLE_TIMEOUT, PeerUnavailable("the answer stalled")):
             self._changed.wait()
 
     def _notify(self) -> None:
@@ -113,12 +119,12 @@
 
 
 class AnswerCache:
-    """Bounds the memory of all kept answers together; the oldest go first.
+    """Bounds the total size of the finished answers by discarding the oldest.
 
     Parameters
     ----------
     limit : int
-        Bytes in all.
+        Maximum total size in bytes.
     """
 
     def __init__(self, limit: int):
@@ -127,7 +133,7 @@
         self._size = 0
 
     def add(self, answer: SharedAnswer) -> None:
-        """Count a finished answer, and drop older ones beyond the limit."""
+        """Add a finished answer, and discard the oldest ones beyond the limit."""
         self._finished[id(answer)] = answer
         self._size += answer.size
         while self._size > self.limit and self._finished:
--- a/whinrack/server/_app.py
+++ b/whinrack/server/_app.py
@@ -1,4 +1,4 @@
-"""The WSGI application: from path to endpoint, and every failure to an answer."""
+"""The WSGI application: dispatches paths to endpoints and turns failures into answers."""
 
 from collections.abc import Callable, Iterator
 
@@ -27,12 +27,12 @@
 
 
 class Application:
-    """Answers callers.
+    """WSGI application that answers callers.
 
     Parameters
     ----------
     context : ServerContext
-        The daemon's parts.
+        Components of the daemon.
     """
 
     def __init__(self, context: ServerContext):
@@ -43,7 +43,7 @@
         self._services = ServiceEndpoint(context)
 
     def __call__(self, environ: dict, start_response: Callable) -> "CountedBody":
-        """Serve one request of the WSGI runner."""
+        """Serve one WSGI request."""
         http = self.context.settings.http
         request = HttpRequest(environ, http.body_limit, http.body_timeout)
         self.context.state.in_progress += 1
@@ -77,7 +77,7 @@
             log_event(Event.REQUEST_FAILED, error=type(error).__name__)
             self.context.metrics.refusals.labels("internal").inc()
             request_id = identity.request_id if identity else new_request_id()
-            return error_answer(InternalFailure("whinrack failed"), request_id)
+            return error_answer(InternalFailure("internal error in whinrack"), request_id)
 
     def _answer_operation(self, request: HttpRequest) -> HttpAnswer | None:
         if request.method != "GET":
@@ -103,13 +103,13 @@
             return self._services
         if request.path == "/v1/chat/completions":
             if request.method != "POST":
-                raise BadRequest("allowed is POST")
+                raise BadRequest("the method: allowed is POST")
             return self._chat
-        raise NoSuchPath("no such path")
+        raise NoSuchPath("no endpoint has this path")
 
 
 class CountedBody:
-    """A body that is counted as in progress until the server closes it."""
+    """An answer body; its request counts as in progress until the server closes it."""
 
     def __init__(self, context: ServerContext, answer: HttpAnswer):
         self.context = context
@@ -120,7 +120,7 @@
         return iter(self.answer.body)
 
     def close(self) -> None:
-        """Close the answer's body; the server calls this in every case."""
+        """Close the answer's body; the WSGI server always calls this."""
         if not self._is_open:
             return
         self._is_open = False
--- a/whinrack/server/_auth.py
+++ b/whinrack/server/_auth.py
@@ -1,4 +1,4 @@
-"""Who calls: the bearer key names the workspace and the budget."""
+"""Authentication: the bearer key identifies the workspace and the budget."""
 
 import msgspec
 
@@ -13,7 +13,7 @@
 
 
 class Caller(msgspec.Struct, frozen=True):
-    """The workspace and budget behind a key."""
+    """The workspace and budget that an API key belongs to."""
 
     workspace_name: str
     workspace: Workspace
@@ -22,7 +22,7 @@
 
 
 class Authenticator:
-    """Checks bearer keys against the ApiKey objects in force.
+    """Verifies bearer keys against the declared ApiKey objects.
 
     Parameters
     ----------
@@ -34,14 +34,14 @@
         self.config = config
 
     def identify(self, request: HttpRequest) -> Caller:
-        """Return the caller.
+        """Return the caller that the request's key belongs to.
 
         Raises
         ------
         Unauthorized
-            For a missing, malformed or unknown key.
+            If the key is missing, malformed or unknown.
         Forbidden
-            For a key whose workspace or budget isn't declared any more.
+            If the key's workspace or budget is no longer declared.
         """
         text = request.header("Authorization")
         if not text.lower().startswith(_BEARER_PREFIX):
@@ -50,9 +50,9 @@
         name = key_name(bearer)
         key = self.config.get(ApiKey, name) if name else None
         if key is None or not verify_key(bearer, key):
-            raise Unauthorized("the key is not known")
+            raise Unauthorized("the key is unknown")
         workspace = self.config.get(Workspace, key.workspace)
         budget = self.config.get(Budget, key.budget)
         if workspace is None or budget is None or budget.workspace != key.workspace:
-            raise Forbidden("the key's workspace or budget is not in force")
+            raise Forbidden("the key's workspace or budget is not declared")
         return Caller(key.workspace, workspace, key.budget, budget)
--- a/whinrack/server/_bills.py
+++ b/whinrack/server/_bills.py
@@ -1,4 +1,4 @@
-"""Commits bills in groups and tells waiting answers when theirs is kept."""
+"""Group commit of bills, and notification of the answers that wait for theirs."""
 
 import eventlet
 from eventlet.event import Event
@@ -14,15 +14,15 @@
 
 
 class BillKeeper:
-    """Drives the journal writer.
+    """Commits bills to the journal in groups.
 
     Parameters
     ----------
     writer : JournalWriter
         This incarnation's journal.
     interval : float
-        Seconds between two commits in the long run; some are saved up, so that a bill
-        in a quiet time is kept at once.
+        Mean seconds between two commits under load. Commits unused in a quiet time are
+        saved up in a token bucket, so that a bill in that time is committed at once.
     """
 
     def __init__(self, writer: JournalWriter, interval: float):
@@ -34,15 +34,26 @@
         self._committed = Event()
 
     def add(self, record: BillRecord) -> int:
-        """Queue a bill; returns the mark to wait for."""
+        """Queue a bill for the next commit.
+
+        Returns
+        -------
+        int
+            The mark to pass to `wait_committed`.
+        """
         mark = self.writer.add(record)
         self._request_commit()
         return mark
 
     def wait_committed(self, mark: int, seconds: float) -> bool:
-        """Wait until a bill is kept; False if it isn't after some seconds.
+        """Wait until a bill is committed.
+
+        Returns at once while commits fail.
 
-        While commits fail, nobody is kept waiting for them.
+        Returns
+        -------
+        bool
+            False if the bill was not committed within the given seconds.
         """
         end = steady() + seconds
         while self.writer.committed_count < mark:
@@ -54,7 +65,7 @@
         return True
 
     def run(self) -> None:
-        """Commit whenever there is something, for ever."""
+        """Commit queued bills forever."""
         while True:
             self._commit_requested.wait()
             self._commit_requested = Event()
@@ -64,7 +75,13 @@
                 self._request_commit()
 
     def flush(self) -> bool:
-        """Commit what is queued now."""
+        """Commit the queued bills now.
+
+        Returns
+        -------
+        bool
+            Whether the commit succeeded.
+        """
         done = self.writer.commit()
         self._is_failing = not done
         event, self._committed = self._committed, Event()
--- a/whinrack/server/_call.py
+++ b/whinrack/server/_call.py
@@ -1,4 +1,4 @@
-"""One request on its way through a router, whatever its protocol."""
+"""State of one request while a router handles it, common to all protocols."""
 
 from whinrack.clock import steady
 from whinrack.exceptions import BadRequest
@@ -14,7 +14,7 @@
 
 
 def request_class_of(request: HttpRequest, caller: Caller) -> RequestClass:
-    """Return the class that a caller asks for, or its workspace's."""
+    """Return the request class from the header, or the workspace's default."""
     text = request.header(CLASS_HEADER).lower()
     if not text:
         return caller.workspace.default_class
@@ -28,35 +28,35 @@
 
 
 def deadline_of(request: HttpRequest, pool: TargetPool) -> float:
-    """Return the clock time by which a request must have ended."""
+    """Return the clock time by which a request must end."""
     seconds = request.read_deadline()
     limit = pool.request_timeout
     return request.arrived_at + (limit if seconds is None else min(seconds, limit))
 
 
 class Call:
-    """One request on its way, whatever its protocol.
+    """State of one request while it is handled.
 
     Parameters
     ----------
     identity : Identity
-        Who it is.
+        Identity of the request.
     caller : Caller
-        Who pays.
+        Workspace and budget that pay.
     decision : RouteDecision
-        Where it may go.
+        The result of the routing program.
     body : bytes
-        What is sent to the target.
+        Body that is sent to the target.
     digest_parts : tuple of bytes
-        What must be the same each time a key is used.
+        Parts of the request that must be the same each time an idempotency key is used.
     deadline : float
-        Clock time by which it must have ended.
+        Clock time by which the request must end.
     is_repeatable : bool
-        Whether it may run again after a try that may have run.
+        Whether the request may run again after an attempt that may have run.
     affinity_key : str
-        For the pickers.
+        Key for the choice of a target.
     request : HttpRequest
-        As it came.
+        The caller's request.
     """
 
     def __init__(
@@ -80,7 +80,7 @@
         self.is_repeatable = is_repeatable
         self.affinity_key = affinity_key
         self.request = request
-        # Learnt at run time.
+        # State at run time.
         self.attempts = 0
         self.avoided_targets: tuple[str, ...] = ()
         self.slot: Slot | None = None
@@ -91,9 +91,9 @@
 
     @property
     def ticket(self) -> Ticket | None:
-        """The ticket that the caller sent."""
+        """The ticket that the caller sent, if any."""
         return decode_ticket(self.request.header(TICKET_HEADER))
 
     def time_left(self) -> float:
-        """Return the seconds until the deadline, never quite nothing."""
+        """Return the seconds until the deadline, at least 0.001."""
         return max(0.001, self.deadline - steady())
--- a/whinrack/server/_call_runner.py
+++ b/whinrack/server/_call_runner.py
@@ -1,4 +1,4 @@
-"""What chat and service calls share: ownership, routing, attempts, joining, ending."""
+"""Steps that chat and service calls share: ownership, slots, attempts, joining, ending."""
 
 from collections.abc import Iterator
 
@@ -28,9 +28,9 @@
 
 
 class CallRunner:
-    """Base of the endpoints that run requests at targets.
+    """Base class of the endpoints that run requests at targets.
 
-    A subclass provides `kind` and `start`.
+    Subclasses define `kind` and `start`.
     """
 
     kind = ""
@@ -41,11 +41,16 @@
         self.policies = PolicyEvaluator(context.config, context.metrics)
 
     def start(self, call: Call) -> HttpAnswer:
-        """Run a request at a target; raises `Refusal`."""
+        """Run a request at a target.
+
+        Raises
+        ------
+        Refusal
+        """
         raise NotImplementedError
 
     def run(self, call: Call) -> HttpAnswer:
-        """Run a request, or join the answer it already has."""
+        """Run a request, or join the answer of an earlier attempt."""
         for _ in range(_MAX_JOIN_ROUNDS):
             decision = self.ownership.resolve(
                 call.identity, call.digest, call.ticket, call.is_repeatable
@@ -59,7 +64,7 @@
                     answer = self._join_peer(call, decision)
             if answer is not None:
                 return answer
-        raise OutcomeUnknown("another try of this request is in progress", retry_after=1.0)
+        raise OutcomeUnknown("another attempt at this request is in progress", retry_after=1.0)
 
     def _run_here(self, call: Call, decision: RunHere) -> HttpAnswer:
         call.has_claim = decision.has_claim
@@ -73,13 +78,13 @@
             self._end_with_refusal(call, refusal)
             raise
         except BaseException:
-            self._end_with_refusal(call, TargetFailed("failed inside"))
+            self._end_with_refusal(call, TargetFailed("internal error in whinrack"))
             raise
 
     # --- attempts ----------------------------------------------------------------
 
     def acquire_slot(self, call: Call) -> Slot:
-        """Find a target, waiting in the queue if need be."""
+        """Acquire a slot at a target, waiting in the queue if need be."""
         query = PickQuery(
             request_class=call.decision.request_class,
             spread=call.decision.spread,
@@ -93,14 +98,14 @@
         return call.slot
 
     def take_slot(self, call: Call, target: TargetView) -> Slot:
-        """Take a place at a given target."""
+        """Take a slot at a given target, whether or not it has room."""
         pool = self.context.pool_directory.pools()[target.spec.pool]
         target.begin_request()
         call.slot = Slot(self.context.pool_directory, pool, target)
         return call.slot
 
     def candidates(self, call: Call) -> list[TargetView]:
-        """Return the targets of the allowed pools, a bounded number of them."""
+        """Return targets of the allowed pools, up to a maximum number."""
         pools = self.context.pool_directory.pools()
         targets = {
             target.name: target
@@ -112,7 +117,7 @@
         return [targets[name] for name in names]
 
     def send(self, call: Call, slot: Slot, path: str, headers) -> Result:
-        """Send one attempt."""
+        """Send one attempt to a target."""
         call.attempts += 1
         if call.attempts == 1:
             slot.pool.retry_budget.record_request()
@@ -129,7 +134,13 @@
         return reply
 
     def prepare_retry(self, call: Call, refusal: Refusal) -> bool:
-        """Whether another attempt is made, counting why or why not."""
+        """Decide whether to make another attempt, and count the reason.
+
+        Returns
+        -------
+        bool
+            True if the caller is to make the attempt; it avoids the last target.
+        """
         if refusal.outcome is Outcome.NOT_RUN:
             reason = "not_started"
         elif call.is_repeatable:
@@ -153,7 +164,7 @@
     # --- joining -----------------------------------------------------------------
 
     def _join_here(self, call: Call) -> HttpAnswer | None:
-        """Answer from the running or finished answer; None if it came to nothing."""
+        """Join the running or finished answer at this instance; None if there is none."""
         while True:
             entry = self.context.memory.find(call.identity.name)
             if entry is None or entry.state not in (*_UNFINISHED_STATES, RunState.FINISHED):
@@ -161,7 +172,7 @@
             if entry.answer is not None and entry.answer.status:
                 break
             if steady() >= call.deadline:
-                raise OutcomeUnknown("another try of this request is running", retry_after=1.0)
+                raise OutcomeUnknown("another attempt at this request is running", retry_after=1.0)
             eventlet.sleep(_JOIN_POLL_SECONDS)
         self.context.metrics.joins.labels("here").inc()
         return joined_answer(entry.answer.read())
@@ -173,7 +184,7 @@
         try:
             answer = joined_answer(parts)
         except PeerUnavailable:
-            # It is asked for again from the start, at whoever has it then.
+            # `run` decides again which instance owns the request.
             eventlet.sleep(_JOIN_POLL_SECONDS)
             return None
         self.context.metrics.joins.labels("peer").inc()
@@ -182,11 +193,11 @@
     # --- ends --------------------------------------------------------------------
 
     def caller_stream(self, call: Call, body: Iterator[bytes]) -> CallerStream:
-        """Wrap a body so that a caller's hang-up ends or detaches it."""
+        """Wrap a body so that it is ended or detached when the caller disconnects."""
         return CallerStream(call, body, self.context.settings.requests.join_grace)
 
     def finish(self, call: Call, is_complete: bool) -> None:
-        """End an answer that has begun."""
+        """End a call whose answer has begun."""
         if call.has_ended:
             return
         call.slot.release()
@@ -200,7 +211,7 @@
         self.record_end(call, Outcome.RAN)
 
     def record_end(self, call: Call, outcome: Outcome) -> None:
-        """Count the end of a call."""
+        """Record and count the end of a call."""
         call.has_ended = True
         self.context.metrics.requests.labels(self.kind, str(outcome)).inc()
         if outcome is Outcome.NOT_RUN:
@@ -219,10 +230,10 @@
         self.record_end(call, refusal.outcome)
 
     def _release_claim(self, call: Call) -> None:
-        """Give a claim up, then let others run the request.
+        """Give up the claim if one is held, then let others run the request.
 
-        In this order: while the claim may still be given up by a late write, nobody
-        may run the request by virtue of it.
+        The order matters: as long as a late write may still give the claim up, no instance
+        may run the request by virtue of that claim.
         """
         given_up = True
         if call.has_claim:
--- a/whinrack/server/_chat.py
+++ b/whinrack/server/_chat.py
@@ -1,4 +1,4 @@
-"""``POST /v1/chat/completions``: checks, routes, covers, relays, settles and bills."""
+"""``POST /v1/chat/completions``: validation, routing, budget cover, relaying and billing."""
 
 from collections.abc import Iterator
 
@@ -47,7 +47,7 @@
 
 
 class _Completion(msgspec.Struct):
-    """The part of a whole answer that whinrack reads."""
+    """The fields of a complete JSON answer that whinrack reads."""
 
     id: str = ""
     usage: Usage | None = None
@@ -57,18 +57,18 @@
 
 
 class ChatCall(Call):
-    """One chat request on its way.
+    """State of one chat request while it is handled.
 
     Attributes
     ----------
     max_output_tokens : int
-        Most tokens of one choice.
+        Maximum number of generated tokens of one choice.
     token_bound : int
-        Most tokens in all, prompt included.
+        Upper bound on all tokens of the request, prompt included.
     settlement : Settlement or None
-        Its cover and its bill, once it runs here.
+        Cover and bill, set once the request runs here.
     stream : ChatStream or None
-        Checks of the answer that is being relayed.
+        Checks the stream that is being relayed.
     """
 
     def __init__(self, chat: ChatRequest, max_output_tokens: int, token_bound: int, **options):
@@ -87,17 +87,17 @@
 
     @property
     def max_content_events(self) -> int:
-        """Content events beyond which the engine has gone past its limit."""
+        """Number of content events above which the engine has exceeded its limit."""
         return self.chat.n * (self.max_output_tokens + 1)
 
 
 class ChatEndpoint(CallRunner):
-    """Runs chat completions.
+    """Endpoint that runs chat completions.
 
     Parameters
     ----------
     context : ServerContext
-        The daemon's parts.
+        Components of the daemon.
     """
 
     kind = "chat"
@@ -146,7 +146,7 @@
         return self.run(call)
 
     def start(self, call: ChatCall) -> HttpAnswer:
-        """Cover, send and relay a request that runs here."""
+        """Reserve cover for a request that runs here, send it and relay the answer."""
         call.settlement = Settlement(
             self.context, call.caller, call.identity, call.token_bound, call.provisional_against
         )
@@ -158,7 +158,7 @@
             raise
 
     def _run_attempts(self, call: ChatCall) -> HttpAnswer:
-        """Try targets until one has answered with a first byte, or give up."""
+        """Try targets until one has sent the first byte of an answer, or give up."""
         if call.provisional_against:
             resumed = self._resume_at_candidates(call)
             if resumed is not None:
@@ -204,7 +204,7 @@
         return self._return_completion(call, response)
 
     def _pass_on_refusal(self, call: ChatCall, body: bytes, response) -> HttpAnswer:
-        """Pass on the engine's word that the request is at fault."""
+        """Pass on an engine's answer that the request is at fault."""
         call.slot.release()
         call.settlement.release()
         content_type = response.headers.get("Content-Type", "application/json")
@@ -213,7 +213,7 @@
         fields = answer_headers(call.identity.request_id, call.attempts, Outcome.NOT_RUN)
         return HttpAnswer(response.status, headers + fields, [body])
 
-    # --- whole answers -----------------------------------------------------------
+    # --- complete answers --------------------------------------------------------
 
     def _return_completion(self, call: ChatCall, response) -> Result[HttpAnswer, Refusal]:
         body = read_body(response)
@@ -241,7 +241,13 @@
     # --- streams -----------------------------------------------------------------
 
     def _open_stream(self, call: ChatCall, response) -> Result[HttpAnswer, Refusal]:
-        """Read the first events, so that a failure before them can still be retried."""
+        """Read the first events, so that a failure before them can still be retried.
+
+        Returns
+        -------
+        Result
+            The streamed answer, or the failure.
+        """
         call.stream = ChatStream(call.answer_id, self._caller_wants_usage(call))
         events = whole_events(body_chunks(response))
         try:
@@ -264,17 +270,23 @@
         return options is not None and options.include_usage
 
     def _next_events(self, call: ChatCall, events: Iterator[bytes]) -> bytes:
-        """Return the next checked events; the last ones are marked by `stream.done`."""
+        """Read and check the next events; sets `stream.done` with the last ones.
+
+        Raises
+        ------
+        AnswerCut
+            If the stream ends early or exceeds its limit.
+        """
         data = next(events, None)
         if data is None:
-            raise AnswerCut("the stream ended without its end mark")
+            raise AnswerCut("the stream ended without its end marker")
         checked = call.stream.check(data)
         if call.stream.content_events > call.max_content_events:
-            raise AnswerCut("the engine went past the limit")
+            raise AnswerCut("the engine exceeded the output limit")
         return checked
 
     def _relay(self, call: ChatCall, response, events: Iterator[bytes], data: bytes):
-        """Yield an answer to its caller; settle, bill and end it, whatever happens."""
+        """Yield an answer to its caller; settle, bill and end the call in every case."""
         append = call.answer.append
         try:
             while not call.stream.done:
@@ -290,27 +302,32 @@
             call.settlement.settle(call.stream.usage, events=call.stream.content_events)
             call.settlement.wait_committed()
             append(data)
-            # Whole and billed from here on, whether or not the caller still reads it.
+            # From here on the answer is complete and billed, even if the caller disconnects.
             self.finish(call, is_complete=True)
             yield data
             _release_connection(response, events)
         except TargetFailed as failure:
             yield self._end_cut_answer(call, response, failure)
         finally:
-            # Reached by a caller's hang-up too.
+            # Also reached when the caller disconnects.
             if not call.has_ended:
                 self._end_abandoned_answer(call, response)
 
     def _check_event_count(self, call: ChatCall) -> None:
-        """Refuse an answer with more events than its engine says it generated."""
+        """Reject an answer with more content events than the engine reports tokens.
+
+        Raises
+        ------
+        AnswerCut
+        """
         usage = call.stream.usage
         if usage is not None:
             max_events = usage.completion_tokens + call.chat.n
             if call.stream.content_events > max_events:
-                raise AnswerCut("more events than the engine generated")
+                raise AnswerCut("the answer has more events than the engine reports tokens")
 
     def _end_cut_answer(self, call: ChatCall, response, failure: TargetFailed) -> bytes:
-        """End a cut answer so that nobody takes it for whole."""
+        """End a cut answer with an error event, so that it isn't taken for complete."""
         response.close()
         self._record_dropped_answer(call, failure)
         self.context.pool_directory.record_failure(call.slot.target)
@@ -335,11 +352,17 @@
         call.settlement.settle(self._cancel(call), events=call.stream.content_events)
 
     def _write_off(self, call: ChatCall) -> None:
-        """Account for a try that may have run and whose answer nobody gets."""
+        """Write off the cover of an attempt that may have run but gave no answer."""
         call.settlement.write_off(self._cancel(call))
 
     def _cancel(self, call: ChatCall) -> Usage | None:
-        """Cancel a try at its engine; returns what it used, if the engine can say."""
+        """Cancel an attempt at its engine.
+
+        Returns
+        -------
+        Usage or None
+            The tokens used, None if the engine does not report them.
+        """
         address = call.slot.target.spec.address
         return self.context.target_client.cancel(address, call.identity.request_id)
 
@@ -349,7 +372,13 @@
     # --- resuming ----------------------------------------------------------------
 
     def _resume(self, call: ChatCall, response, cut: AnswerCut):
-        """Take a cut stream up again at its engine, after the events that came whole."""
+        """Resume a cut stream at its engine, after the last complete event.
+
+        Raises
+        ------
+        AnswerCut
+            The given failure, if the stream can't be resumed.
+        """
         response.close()
         if (
             call.resume_count >= _MAX_RESUMES
@@ -369,7 +398,13 @@
         return resumed, whole_events(body_chunks(resumed))
 
     def _resume_at_candidates(self, call: ChatCall) -> HttpAnswer | None:
-        """Look for the stream of a lost instance at the engines that may hold it."""
+        """Resume the stream of a lost instance at an engine that still holds it.
+
+        Returns
+        -------
+        HttpAnswer or None
+            None if no engine holds the stream.
+        """
         if not call.chat.stream:
             return None
         for target in self.candidates(call):
@@ -389,7 +424,7 @@
 
 
 def _release_connection(response, events: Iterator[bytes]) -> None:
-    """Read the body's own end, so that the connection can be used again; else close it."""
+    """Read the end of the body so that the connection can be reused; otherwise close it."""
     with eventlet.Timeout(_BODY_END_TIMEOUT, False):
         try:
             if next(events, None) is None:
--- a/whinrack/server/_chat_request.py
+++ b/whinrack/server/_chat_request.py
@@ -1,4 +1,4 @@
-"""The body of a chat completion: checked as it comes, and as it goes to the engine."""
+"""The body of a chat completion: validation, and conversion for the engine."""
 
 import msgspec
 
@@ -12,12 +12,12 @@
 
 
 def parse_chat(body: bytes) -> ChatRequest:
-    """Check a request body.
+    """Decode and validate a request body.
 
     Raises
     ------
     BadRequest
-        Naming the field.
+        If the body is invalid; `param` names the field.
     """
     try:
         chat = _CHAT.decode(body)
@@ -35,7 +35,7 @@
 
 
 def engine_body(body: bytes, chat: ChatRequest, limit: int) -> bytes:
-    """Return the body for the engine: the caller's, with a limit and usage reports."""
+    """Return the caller's body with the output limit set and usage reports requested."""
     fields = _FIELDS.decode(body)
     reject_unbounded_fields(fields)
     fields.pop("max_completion_tokens", None)
--- a/whinrack/server/_config_follower.py
+++ b/whinrack/server/_config_follower.py
@@ -1,4 +1,4 @@
-"""Keeps the configuration up to date, from the platform or from peers."""
+"""Updates of the configuration from the platform or from peers."""
 
 import eventlet
 from returns.result import Failure, Success
@@ -18,12 +18,12 @@
 
 
 class ConfigFollower:
-    """Follows the platform if this instance is a watcher of its hall, else a watcher.
+    """Follows the platform if this instance is a watcher of its data hall, else a watcher.
 
     Parameters
     ----------
     context : ServerContext
-        The daemon's parts.
+        Components of the daemon.
     store : ObjectStore
         The platform.
     """
@@ -35,7 +35,7 @@
         self._has_snapshot = False
 
     def load_initial(self) -> None:
-        """Get a first configuration, from the platform or from any peer."""
+        """Load an initial configuration from the platform or from any peer."""
         while not self._load_snapshot():
             self._catch_up_from_peers()
             if self.context.config.newest_version:
@@ -44,7 +44,7 @@
         self.context.state.is_ready = True
 
     def run(self) -> None:
-        """Follow, for ever."""
+        """Follow configuration changes forever."""
         while True:
             if self._should_watch():
                 self.context.state.is_watching = True
@@ -57,7 +57,13 @@
                 eventlet.sleep(_RETRY_SECONDS)
 
     def catch_up(self, address: str) -> bool:
-        """Take what a peer has beyond what is here, once."""
+        """Apply the newer configuration changes of a peer once.
+
+        Returns
+        -------
+        bool
+            False if no update was received.
+        """
         config = self.context.config
         try:
             for revision, objects in self.context.peer_client.follow_config(
@@ -104,7 +110,13 @@
         return True
 
     def _follow_peer(self) -> bool:
-        """Follow a watcher until it falls silent or this instance is to watch."""
+        """Follow a watcher until its feed fails or it is no longer a watcher.
+
+        Returns
+        -------
+        bool
+            False if the feed of every watcher failed.
+        """
         config = self.context.config
         for watcher in self._watchers():
             member = self.context.table.find(watcher)
--- a/whinrack/server/_consultation.py
+++ b/whinrack/server/_consultation.py
@@ -1,4 +1,4 @@
-"""Asks peers whether a request may run here, and who owns it."""
+"""Consultation of peers: whether a request may run here, and which incarnation owns it."""
 
 from typing import NamedTuple
 
@@ -16,10 +16,12 @@
 
 
 class UnresolvedRequest(msgspec.Struct, frozen=True):
-    """What is known about a request that is to be placed.
+    """A request whose owner is to be found, and what is known about it.
 
     Attributes
     ----------
+    has_ticket : bool
+        Whether the caller sent a ticket, which names the request's home.
     known_owner : str
         Another incarnation that is remembered as the owner, "" if there is none.
     """
@@ -32,26 +34,32 @@
 
 
 class SuccessorReply(NamedTuple):
-    """What the heir of a home says; `member` is None where this incarnation is the heir."""
+    """Reply of a home's successor; `member` is None if that is this incarnation."""
 
     member: Member | None
     reply: ConsultReply
 
 
 class PeerConsultation:
-    """Puts the question to one peer at a time.
+    """Consults peers about the ownership of requests, one peer per call.
 
     Parameters
     ----------
     context : ServerContext
-        The daemon's parts.
+        Components of the daemon.
     """
 
     def __init__(self, context: ServerContext):
         self.context = context
 
     def consult_successor(self, request: UnresolvedRequest, home: str) -> SuccessorReply | None:
-        """Ask who inherited the memory of a home that may have stopped as planned."""
+        """Consult the successor of a home that may have stopped as planned.
+
+        Returns
+        -------
+        SuccessorReply or None
+            None if the successor can't be reached or did not take over the home's memory.
+        """
         now = steady()
         own = self.context.state.incarnation
         candidates = [own, *self.context.table.handover_candidates(now)]
@@ -69,7 +77,7 @@
     def consult(
         self, member: Member | None, request: UnresolvedRequest, lost_owner: str, home: str = ""
     ) -> ConsultReply | None:
-        """Ask one peer; None if it can't be reached."""
+        """Consult one peer; None if it is unknown or can't be reached."""
         if member is None:
             self.context.metrics.consultations.labels("unreachable").inc()
             return None
--- a/whinrack/server/_context.py
+++ b/whinrack/server/_context.py
@@ -1,4 +1,4 @@
-"""What the endpoints of one daemon share."""
+"""State and components that the endpoints of one daemon share."""
 
 import msgspec
 
@@ -18,16 +18,16 @@
 
 
 class DaemonState(msgspec.Struct):
-    """What changes as the daemon lives.
+    """Mutable state of a daemon.
 
     Attributes
     ----------
     is_leaving : bool
         A planned stop has begun.
     is_closed : bool
-        The planned stop is over but for giving things back: nothing is begun any more.
+        New requests are refused; a planned stop only has to flush bills and return tokens.
     in_progress : int
-        Requests of callers that are not answered yet.
+        Requests of callers whose answers have not ended.
     """
 
     incarnation: str
@@ -39,7 +39,7 @@
 
 
 class ServerContext(msgspec.Struct, frozen=True, kw_only=True):
-    """The parts of a daemon."""
+    """The components of a daemon."""
 
     settings: Settings
     state: DaemonState
@@ -56,7 +56,7 @@
     metrics: Metrics
 
     def own_member(self) -> Member:
-        """Return this daemon's word on itself."""
+        """Return this daemon's member record."""
         settings = self.settings
         return Member(
             incarnation=self.state.incarnation,
--- a/whinrack/server/_daemon.py
+++ b/whinrack/server/_daemon.py
@@ -1,4 +1,4 @@
-"""Puts a daemon together, runs it and stops it as planned."""
+"""Construction, run and planned stop of a daemon."""
 
 import signal
 import socket
@@ -41,7 +41,7 @@
 
 
 class RouterDaemon:
-    """One router: entry, relay, budgets, membership and configuration feed.
+    """A router: HTTP entry, relay, budgets, membership and configuration feed.
 
     Parameters
     ----------
@@ -57,7 +57,13 @@
         self._build()
 
     def run(self) -> int:
-        """Serve until a planned stop; returns the exit code."""
+        """Serve until a planned stop.
+
+        Returns
+        -------
+        int
+            The exit code.
+        """
         logs = self.settings.logs
         configure_logs(logs.level, logs.format == "json")
         signal.signal(signal.SIGTERM, lambda *_: self._exit.release())
@@ -165,7 +171,7 @@
     def _listen(self):
         host, _, port = self.settings.http.address.partition(":")
         sock = eventlet.listen((host, int(port)), backlog=_BACKLOG)
-        # Accepted connections inherit it: a token must not wait for the next one.
+        # Accepted connections inherit this option: no token is held back for the next one.
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         return sock
 
@@ -184,7 +190,13 @@
         )
 
     def _stop(self, sock, server) -> int:
-        """Serve on until nobody holds this address, then give everything back."""
+        """Keep serving until no caller holds this address, then return all resources.
+
+        Returns
+        -------
+        int
+            The exit code.
+        """
         state = self.context.state
         state.is_leaving = True
         CallerProtocol.is_leaving = True
@@ -195,7 +207,7 @@
             eventlet.sleep(_STOP_POLL_SECONDS)
         sock.close()
         server.kill()
-        # A kept connection may still bring a request: from here on it is refused.
+        # Keep-alive connections may still bring requests, which are refused from here on.
         state.is_closed = True
         self._hand_over_memory()
         complete = self._flush_bills_and_tokens()
@@ -211,7 +223,7 @@
         return self.context.state.in_progress > 0 and seconds < stop.longest
 
     def _hand_over_memory(self) -> None:
-        """Tell each peer what callers will ask it instead of this instance."""
+        """Hand each entry of request memory over to the peer that will be consulted for it."""
         context, now = self.context, steady()
         home = context.state.incarnation
         entries_by_successor = {
--- a/whinrack/server/_http.py
+++ b/whinrack/server/_http.py
@@ -1,4 +1,4 @@
-"""Requests and answers of the callers' side, independent of the WSGI runner."""
+"""HTTP requests and answers of callers, independent of the WSGI server."""
 
 from collections.abc import Iterable
 from http import HTTPStatus
@@ -36,7 +36,7 @@
 
 
 class ErrorBody(msgspec.Struct, frozen=True):
-    """The usual JSON form of an error."""
+    """An error in the JSON form of OpenAI-compatible APIs."""
 
     message: str
     type: str
@@ -45,7 +45,7 @@
 
 
 class ErrorEnvelope(msgspec.Struct, frozen=True):
-    """Wraps an error, as OpenAI-compatible clients expect."""
+    """Wrapper of an error, as OpenAI-compatible clients expect."""
 
     error: ErrorBody
 
@@ -56,7 +56,7 @@
     Attributes
     ----------
     body : iterable of bytes
-        Closed by the server when the caller hangs up.
+        Closed by the server when the caller disconnects.
     """
 
     status: int
@@ -65,7 +65,7 @@
 
     @property
     def status_line(self) -> str:
-        """Return the status with its phrase."""
+        """The status code with its reason phrase."""
         try:
             return f"{self.status} {HTTPStatus(self.status).phrase}"
         except ValueError:
@@ -73,14 +73,14 @@
 
 
 class HttpRequest:
-    """A caller's request over a WSGI environment.
+    """A caller's request, read from a WSGI environment.
 
     Parameters
     ----------
     environ : dict
-        As the WSGI runner gives it.
+        The WSGI environment.
     body_limit : int
-        Most bytes of the body.
+        Maximum size of the body in bytes.
     body_timeout : float
         Seconds that reading the body may take.
     """
@@ -93,7 +93,7 @@
 
     @property
     def method(self) -> str:
-        """The request's method."""
+        """The request method."""
         return self.environ["REQUEST_METHOD"]
 
     @property
@@ -102,7 +102,7 @@
         return self.environ["PATH_INFO"]
 
     def header(self, name: str) -> str:
-        """Return a header, "" if it isn't there."""
+        """Return a header's value, "" if the request does not have it."""
         key = name.upper().replace("-", "_")
         if key == "CONTENT_TYPE":
             return self.environ.get(key, "")
@@ -117,21 +117,23 @@
         """
         length = self._content_length()
         if length > self.body_limit:
-            raise BodyTooLarge(f"allowed are {self.body_limit} bytes, got {length}")
+            raise BodyTooLarge(f"the body: allowed are {self.body_limit} bytes, got {length}")
         timeout = eventlet.Timeout(self.body_timeout)
         try:
             return self._read(length)
         except eventlet.Timeout as raised:
             if raised is not timeout:
                 raise
-            raise RequestTimeout(f"the body took over {self.body_timeout:g} s") from raised
+            raise RequestTimeout(
+                f"the body did not arrive within {self.body_timeout:g} s"
+            ) from raised
         except (ValueError, OSError) as error:
             raise BadRequest("the body can't be read") from error
         finally:
             timeout.cancel()
 
     def read_deadline(self) -> float | None:
-        """Return the seconds that the caller gives the request, None for no limit."""
+        """Return the seconds that the caller allows for the request, None for no limit."""
         text = self.header(DEADLINE_HEADER)
         if not text:
             return None
@@ -147,7 +149,7 @@
         return seconds
 
     def is_marked_repeatable(self, default: bool = True) -> bool:
-        """Whether the caller lets the request run again; `default` if it doesn't say."""
+        """Return whether the header allows a repetition; `default` if there is no header."""
         text = self.header(REPEATABLE_HEADER).lower()
         if not text:
             return default
@@ -173,13 +175,13 @@
         while part := source.read(_CHUNK_BYTES):
             size += len(part)
             if size > self.body_limit:
-                raise BodyTooLarge(f"allowed are {self.body_limit} bytes")
+                raise BodyTooLarge(f"the body: allowed are {self.body_limit} bytes")
             parts.append(part)
         return b"".join(parts)
 
 
 def answer_headers(request_id: str, attempts: int, outcome: Outcome) -> list[tuple[str, str]]:
-    """Return the headers that every answer carries."""
+    """Return the headers that are common to all answers."""
     return [
         ("X-Request-Id", request_id),
         ("Whinrack-Attempts", str(attempts)),
@@ -188,20 +190,20 @@
 
 
 def json_answer(value: object, status: int = 200, headers=()) -> HttpAnswer:
-    """Answer with a JSON value."""
+    """Return an answer with a JSON body."""
     body = msgspec.json.encode(value)
     fields = [("Content-Type", "application/json"), ("Content-Length", str(len(body)))]
     return HttpAnswer(status, [*fields, *headers], [body])
 
 
 def error_body(refusal: Refusal) -> bytes:
-    """Encode a refusal in the usual JSON form."""
+    """Encode a refusal as a JSON error body."""
     body = ErrorBody(refusal.message, refusal.kind, refusal.code, refusal.param)
     return msgspec.json.encode(ErrorEnvelope(body))
 
 
 def error_answer(refusal: Refusal, request_id: str) -> HttpAnswer:
-    """Answer with a refusal."""
+    """Return the answer for a refusal."""
     body = error_body(refusal)
     headers = [
         ("Content-Type", "application/json"),
@@ -212,6 +214,6 @@
     if refusal.retry_after is not None:
         headers.append(("Retry-After", str(max(1, round(refusal.retry_after)))))
     if refusal.status == 402:
-        # OpenAI-compatible clients honour this and don't come back by themselves.
+        # OpenAI-compatible clients honour this header and don't retry by themselves.
         headers.append(("X-Should-Retry", "false"))
     return HttpAnswer(refusal.status, headers, [body])
--- a/whinrack/server/_operations.py
+++ b/whinrack/server/_operations.py
@@ -1,4 +1,4 @@
-"""Endpoints other than requests: entry addresses, models, status, health, metrics."""
+"""Operational endpoints: entry addresses, models, status, health and metrics."""
 
 import hmac
 
@@ -18,7 +18,7 @@
 
 
 class EntryReply(msgspec.Struct, frozen=True):
-    """Which addresses to use, in order, for how long, and the ticket to send along."""
+    """Addresses in order of preference, how long they are valid, and the ticket to send."""
 
     addresses: list[str]
     valid_seconds: float
@@ -26,7 +26,7 @@
 
 
 class ModelRow(msgspec.Struct, frozen=True):
-    """One model, in the widespread form."""
+    """One model, in the form of OpenAI-compatible APIs."""
 
     id: str
     object: str = "model"
@@ -35,32 +35,32 @@
 
 
 class ModelList(msgspec.Struct, frozen=True):
-    """All models."""
+    """The list of models, in the form of OpenAI-compatible APIs."""
 
     data: list[ModelRow]
     object: str = "list"
 
 
 class Health(msgspec.Struct, frozen=True):
-    """The state of the process."""
+    """Answer of the health and readiness endpoints."""
 
     status: str
 
 
 class OperationsEndpoint:
-    """Answers about the daemon itself.
+    """Endpoints about the daemon itself.
 
     Parameters
     ----------
     context : ServerContext
-        The daemon's parts.
+        Components of the daemon.
     """
 
     def __init__(self, context: ServerContext):
         self.context = context
 
     def entry(self, request: HttpRequest) -> HttpAnswer:
-        """Answer "which address?"; needs no key, as it tells nothing secret."""
+        """Return the addresses to use; requires no key, as they are not secret."""
         own = self.context.own_member()
         busy = self.context.settings.http.busy_requests
         members = self.context.table.entry_points(own, steady(), busy)
@@ -73,25 +73,25 @@
         return json_answer(reply)
 
     def models(self) -> HttpAnswer:
-        """List the models that any pool serves."""
+        """Return the models that any pool serves."""
         pools = self.context.config.specs_of_kind(TargetPool).values()
         names = sorted({model for pool in pools for model in pool.models})
         return json_answer(ModelList([ModelRow(name) for name in names]))
 
     def status(self, request: HttpRequest) -> HttpAnswer:
-        """Tell operators the state of this daemon; needs the fleet's key."""
+        """Return the state of this daemon for operators; requires the fleet key."""
         shown = request.header(FLEET_KEY_HEADER)
         expected = self.context.settings.peer.fleet_key
         if not hmac.compare_digest(shown.encode(), expected.encode()):
-            raise Unauthorized("the fleet's key is needed")
+            raise Unauthorized("the fleet key is required")
         return json_answer(self._status())
 
     def health(self) -> HttpAnswer:
-        """Say that the process serves."""
+        """Report that the process is running."""
         return json_answer(Health("ok"))
 
     def ready(self) -> HttpAnswer:
-        """Say whether the daemon has a configuration and isn't leaving."""
+        """Report whether the daemon has a configuration and isn't leaving."""
         state = self.context.state
         if state.is_leaving:
             return json_answer(Health("leaving"), 503)
@@ -100,7 +100,7 @@
         return json_answer(Health("ready"))
 
     def metrics(self) -> HttpAnswer:
-        """Return the metrics in text form."""
+        """Return the metrics in the Prometheus text format."""
         self._set_gauges()
         body = self.context.metrics.render()
         headers = [
--- a/whinrack/server/_ownership.py
+++ b/whinrack/server/_ownership.py
@@ -1,15 +1,16 @@
-"""Decides who runs a request, before anything is spent or sent.
+"""Ownership of requests: which incarnation runs one, before tokens are spent or work is sent.
 
-The rules, in the order they are asked:
+The rules, in the order in which they are applied:
 
-1. A request without a key is its own; it runs here.
-2. What this incarnation remembers decides at once.
-3. The home, named by the ticket or by rendezvous, cedes the request or says who has it.
+1. A request without an idempotency key runs here.
+2. An entry in this incarnation's request memory decides at once.
+3. The home of the request, named by the ticket or chosen by rendezvous hashing, cedes the
+   request or names its owner.
 4. A request that may not be repeated is claimed in the platform as well.
 
-A home that stopped as planned has left its memory to those who are asked next. One that
-can't be reached otherwise leaves the outcome of earlier tries open: what may be
-repeated is run with a provisional bill, what may not is refused as unknown.
+A home that stopped as planned has handed its request memory over to successors, which
+are asked instead. If a home can't be reached for another reason, the outcome of earlier attempts
+is unknown: a repeatable request runs with a provisional bill, any other is refused.
 """
 
 import eventlet
@@ -42,19 +43,19 @@
 
 _RETRY_AFTER = 2.0
 _MAX_ROUNDS = 6
-# Seconds that an owner is given to take in what was just ceded to it.
+# Seconds before an owner is asked again that may not have recorded its ownership yet.
 _REPEAT_PAUSE_SECONDS = 0.02
 
 
 class RunHere(msgspec.Struct, frozen=True):
-    """This incarnation runs the request.
+    """Decision that this incarnation runs the request.
 
     Attributes
     ----------
     provisional_against : str
-        An incarnation that may have run it too, "" if there is none.
+        An incarnation that may have run the request too, "" if there is none.
     has_claim : bool
-        A claim is held and must be given up if the request isn't run.
+        A claim is held in the platform and must be given up if the request isn't run.
     """
 
     provisional_against: str = ""
@@ -62,24 +63,24 @@
 
 
 class JoinHere(msgspec.Struct, frozen=True):
-    """The request runs or ran here."""
+    """Decision to join the answer of this incarnation, which runs or ran the request."""
 
     entry: MemoryEntry
 
 
 class JoinPeer(msgspec.Struct, frozen=True):
-    """The request runs or ran at a peer."""
+    """Decision to join the answer of a peer, which runs or ran the request."""
 
     member: Member
 
 
 class OwnershipResolver:
-    """Finds the owner of each keyed request.
+    """Finds the owner of each request with an idempotency key.
 
     Parameters
     ----------
     context : ServerContext
-        The daemon's parts.
+        Components of the daemon.
     """
 
     def __init__(self, context: ServerContext):
@@ -89,7 +90,7 @@
     def resolve(
         self, identity: RequestIdentity, digest: bytes, ticket: Ticket | None, is_repeatable: bool
     ) -> RunHere | JoinHere | JoinPeer:
-        """Decide who runs a request.
+        """Decide which incarnation runs a request.
 
         Raises
         ------
@@ -110,8 +111,8 @@
         if isinstance(first, JoinHere):
             return first
         if not known_owner:
-            # A known owner stays on record while it is asked: whoever asks here
-            # meanwhile is sent to it and is not given the request a second time.
+            # A known owner stays recorded while it is asked: peers that consult this
+            # instance meanwhile are sent to it and are not ceded the request as well.
             self._memory.reserve(identity.name, digest, steady())
         try:
             decision = self._ask_owners(request, first)
@@ -131,20 +132,20 @@
         return self.context.state.incarnation
 
     def _undo_reservation(self, request: UnresolvedRequest, before: MemoryEntry | None) -> None:
-        """Undo an own reservation that came to nothing."""
+        """Undo this incarnation's reservation after a refused decision."""
         entry = self._memory.find(request.identity.name)
         if entry is None or entry.owner != self._own_incarnation:
             return
         self._memory.set_state(request.identity.name, RunState.NOT_RUN, steady())
         if request.known_owner:
-            # That owner may have run it: this must not be forgotten.
+            # The known owner may have run the request: its entry must be kept.
             self._memory.restore(request.identity.name, before)
 
     def _first_owner_to_ask(self, request, entry, ticket) -> str | JoinHere:
-        """Return the incarnation to ask, this one if nobody else is to be asked."""
+        """Return the incarnation to ask first, this one if no other is to be asked."""
         if entry is not None:
             if entry.state is RunState.UNKNOWN and not request.is_repeatable:
-                raise OutcomeUnknown("an earlier try may have run", retry_after=_RETRY_AFTER)
+                raise OutcomeUnknown("an earlier attempt may have run", retry_after=_RETRY_AFTER)
             if request.known_owner:
                 if entry.state is RunState.FINISHED:
                     raise AnswerNotKept("the request ran at an instance that has stopped")
@@ -157,7 +158,7 @@
         return self.context.table.home_incarnation(own, request.identity.name, steady())
 
     def _ask_owners(self, request: UnresolvedRequest, home: str) -> RunHere | JoinPeer:
-        """Ask the home, and go on to the owner that it names."""
+        """Ask the home, then the owner that it names."""
         asked_incarnation, lost_owner = home, ""
         already_asked: set[str] = set()
         for _ in range(_MAX_ROUNDS):
@@ -170,7 +171,7 @@
             reply = self.consultation.consult(member, request, lost_owner)
             if reply is None:
                 if asked_incarnation != home and not lost_owner:
-                    # The owner is lost: the home decides again, knowing that.
+                    # The owner can't be reached: the home decides again, knowing that.
                     asked_incarnation, lost_owner = home, asked_incarnation
                     continue
                 successor = self.consultation.consult_successor(request, home)
@@ -190,15 +191,17 @@
                 case ConsultDecision.BODY_MISMATCH:
                     raise KeyReused("the key was used with another body")
                 case ConsultDecision.OUTCOME_UNKNOWN:
-                    raise OutcomeUnknown("an earlier try may have run", retry_after=_RETRY_AFTER)
+                    raise OutcomeUnknown(
+                        "an earlier attempt may have run", retry_after=_RETRY_AFTER
+                    )
         return self._decide_without_owner(request, asked_incarnation)
 
     def _decide_without_owner(self, request: UnresolvedRequest, lost_owner: str) -> RunHere:
-        """Decide where an incarnation that may have run the request can't be asked."""
+        """Decide when an incarnation that may have run the request can't be asked."""
         if request.is_repeatable:
             return RunHere(provisional_against=lost_owner)
         if not request.has_ticket and not request.known_owner:
-            # No ticket: the claim in the platform decides instead of the home.
+            # Without a ticket, the claim in the platform decides instead of the home.
             return RunHere()
         raise OutcomeUnknown(
             "the instance that may have run the request can't be reached",
@@ -208,7 +211,7 @@
     def _confirm_reservation(
         self, request: UnresolvedRequest, decision: RunHere
     ) -> RunHere | JoinHere | JoinPeer:
-        """Reserve the request for good, unless it was ceded while the home was asked."""
+        """Reserve the request finally, unless it was ceded while the home was asked."""
         now = steady()
         name = request.identity.name
         entry = self._memory.find(name)
@@ -216,7 +219,7 @@
             return self._join_owner(entry.owner)
         if request.known_owner:
             if entry is not None and entry.owner == self._own_incarnation:
-                # Another call of this instance has replaced the known owner meanwhile.
+                # Another call at this instance has replaced the known owner meanwhile.
                 return JoinHere(entry)
             self._memory.reserve(name, request.digest, now)
         self._memory.set_state(name, RunState.RESERVED, now)
@@ -231,13 +234,13 @@
         return JoinPeer(member)
 
     def _claim(self, request: UnresolvedRequest, decision: RunHere) -> RunHere | JoinPeer:
-        """Ask the platform for the claim on a request that runs at most once."""
+        """Claim a request that must run at most once in the platform."""
         result = self.context.claims.claim(request.identity, request.digest)
         status = evaluate_claim(result, self._own_incarnation, request.digest)
         if isinstance(status, Failure):
             unreachable = isinstance(status.failure(), PlatformUnavailable | RateExceeded)
             if request.has_ticket and unreachable:
-                # The ticket's home has promised; the claim would only repeat it.
+                # The ticket's home has ceded the request; a claim would only confirm that.
                 return decision
             raise ClaimUnavailable(
                 "the platform can't be asked whether the request was run before",
@@ -251,14 +254,14 @@
         return self._join_holder(request, result.unwrap().holder)
 
     def _join_holder(self, request: UnresolvedRequest, holder: str) -> RunHere | JoinPeer:
-        """Join the answer of the claim's holder, which alone may run the request."""
+        """Join the answer of the claim's holder, the only one that may run the request."""
         member = self.context.table.find(holder)
         reply = self.consultation.consult(member, request, "")
         if reply is not None and reply.decision is ConsultDecision.HERE:
             self._record_owner(request, holder)
             return JoinPeer(member)
         if reply is not None and reply.decision is ConsultDecision.CEDED:
-            # The holder did not run it and promises that it won't.
+            # The holder did not run the request and will not run it.
             return RunHere()
         raise OutcomeUnknown(
             "another instance holds the claim to run the request", retry_after=_RETRY_AFTER
--- a/whinrack/server/_peer_handlers.py
+++ b/whinrack/server/_peer_handlers.py
@@ -1,4 +1,4 @@
-"""This daemon's answers to its peers."""
+"""Handlers of the calls that peers make to this daemon."""
 
 from collections.abc import Callable, Iterator, Sequence
 
@@ -28,35 +28,35 @@
 
 
 class ChangeSignal(FeedSubscription):
-    """Wakes everybody who waits for a configuration change."""
+    """Wakes all green threads that wait for a configuration change."""
 
     def __init__(self):
         self._event = GreenEvent()
 
     def send(self) -> None:
-        """Wake all waiters."""
+        """Wake all waiting green threads."""
         event, self._event = self._event, GreenEvent()
         event.send(None)
 
     def wait(self, seconds: float) -> None:
-        """Return after a change, or after some seconds."""
+        """Wait for a change, at most the given seconds."""
         with eventlet.Timeout(seconds, False):
             self._event.wait()
 
 
 class DaemonHandlers(PeerHandlers):
-    """Answers peers from the daemon's parts.
+    """Answers calls of peers from the daemon's components.
 
     Parameters
     ----------
     context : ServerContext
-        The daemon's parts.
+        Components of the daemon.
     account_writer : AccountDrawer
-        Draws for peers.
+        Draws tokens for peers.
     signal : ChangeSignal
-        Tells of configuration changes.
+        Signals configuration changes.
     on_leaving : callable
-        Called when a peer knew of leaving instances before this one.
+        Called when a peer reports leaving instances that this one did not know of.
     """
 
     def __init__(
@@ -73,13 +73,13 @@
         self.config = context.config
 
     def receive_heartbeat(self, sender: Member, leaving: Sequence[str]) -> PeerReport:
-        """Take in a peer's word and answer with one's own."""
+        """Record a peer's heartbeat and return this daemon's report on itself."""
         self.record_report(sender, leaving)
         known = self.context.table.leaving_instances(steady())
         return PeerReport(self.context.own_member(), sorted(known))
 
     def record_report(self, member: Member, leaving: Sequence[str]) -> None:
-        """Learn from a heartbeat or its reply."""
+        """Record the report in a heartbeat or in the reply to one."""
         now = steady()
         if self.context.table.record_heartbeat(member, now):
             log_event(Event.MEMBER_JOINED, member=member.incarnation)
@@ -87,7 +87,7 @@
             self.on_leaving()
 
     def draw(self, order: DrawOrder) -> Result[DrawResult, PlatformFailure]:
-        """Draw from the platform for a peer."""
+        """Draw tokens from the platform for a peer."""
         result = self.account_writer.draw(order)
         label = result.failure().code if isinstance(result, Failure) else "ok"
         self.context.metrics.draws.labels("for_peer", label).inc()
@@ -96,11 +96,17 @@
     def give_tokens(
         self, budget: str, receiver: str, already_received: int, need: int, wish: int
     ) -> int:
-        """Hand tokens to a peer; returns the cumulative total."""
+        """Give spare tokens to a peer.
+
+        Returns
+        -------
+        int
+            The total that the peer has been given, earlier transfers included.
+        """
         return self.context.budget_manager.give(budget, receiver, already_received, need, wish)
 
     def consult(self, query: ConsultQuery) -> ConsultReply:
-        """Tell whether a peer may run a request."""
+        """Decide whether a peer may run a request."""
         if not self.context.memory.is_responsible_for(query.home, steady()):
             return ConsultReply(ConsultDecision.NOT_HEIR)
         return self.context.memory.consult(
@@ -113,31 +119,37 @@
         )
 
     def take_over_memory(self, home: str, entries: list[HandoverEntry]) -> None:
-        """Take over the memory of a home that stops as planned."""
+        """Take over request memory of a home that is in a planned stop."""
         self.context.memory.take_over(home, entries, steady())
 
     def join_answer(self, identity: str) -> Iterator[AnswerPart]:
-        """Yield the answer of a request that runs or ran here."""
+        """Yield the answer of a request that runs or ran at this instance.
+
+        Raises
+        ------
+        PeerUnavailable
+            If there is no answer, or none begins in time.
+        """
         end = steady() + _MAX_JOIN_SECONDS
         while steady() < end:
             entry = self.context.memory.find(identity)
             if entry is None or entry.state in (RunState.NOT_RUN, RunState.CEDED):
-                raise PeerUnavailable("no such answer")
+                raise PeerUnavailable("this instance has no answer of the request")
             if entry.answer is not None and entry.answer.status:
                 yield from _refusals_as_peer_errors(entry.answer.read())
                 return
             if entry.state is RunState.UNKNOWN:
-                raise PeerUnavailable("no such answer")
+                raise PeerUnavailable("this instance has no answer of the request")
             eventlet.sleep(_JOIN_POLL_SECONDS)
-        raise PeerUnavailable("no answer yet")
+        raise PeerUnavailable("the answer did not begin in time")
 
     def subscribe(self) -> FeedSubscription:
-        """Follow the configuration in force here."""
+        """Return a subscription to changes of this daemon's configuration."""
         return self.signal
 
 
 def _refusals_as_peer_errors(parts: Iterator[AnswerPart]) -> Iterator[AnswerPart]:
-    """Turn a refusal while reading into what the calling side understands."""
+    """Turn a refusal while reading into a `PeerUnavailable`, which the peer handles."""
     try:
         yield from parts
     except Refusal as refusal:
--- a/whinrack/server/_policies.py
+++ b/whinrack/server/_policies.py
@@ -1,4 +1,4 @@
-"""Evaluates the routing programs in force, or falls to the documented default."""
+"""Evaluation of the declared routing programs, with fallback to the documented default."""
 
 from returns.result import Failure
 
@@ -22,14 +22,14 @@
 
 
 class PolicyEvaluator:
-    """Decides where requests may go.
+    """Decides by routing programs where requests may go.
 
     Parameters
     ----------
     config : ConfigStore
-        Holds the programs.
+        Holds the declared routing policies.
     metrics : Metrics
-        Counts programs that failed.
+        Counts failed evaluations.
     """
 
     def __init__(self, config: ConfigStore, metrics: Metrics):
@@ -40,14 +40,14 @@
     def decide(
         self, name: str, facts: RequestFacts, serving: dict[str, PoolState]
     ) -> RouteDecision:
-        """Evaluate a policy's program for one request.
+        """Evaluate a policy's program for one request; the default if it fails.
 
         Parameters
         ----------
         name : str
-            The RoutingPolicy object; "" for the default.
+            Name of the RoutingPolicy object, "" for the default.
         serving : dict of str to PoolState
-            The pools that serve what is asked for.
+            The pools that can serve the request, by name.
         """
         policy = self.config.get(RoutingPolicy, name) if name else None
         default = default_decision(facts, tuple(serving))
--- a/whinrack/server/_protocol.py
+++ b/whinrack/server/_protocol.py
@@ -1,4 +1,4 @@
-"""The WSGI runner's connection handler, with a bound on slow headers."""
+"""Connection handler of the WSGI server, with a timeout for slow headers."""
 
 import eventlet
 from eventlet.wsgi import HttpProtocol
@@ -7,13 +7,19 @@
 
 
 class CallerProtocol(HttpProtocol):
-    """Closes connections whose headers take too long, and kept ones of a leaving router."""
+    """Closes connections with slow headers, and keep-alive ones once the router leaves."""
 
     header_timeout = 10.0
     is_leaving = False
 
     def parse_request(self) -> bool:
-        """Read the headers within the time allowed."""
+        """Read the request line and headers within `header_timeout`.
+
+        Returns
+        -------
+        bool
+            False if they were malformed or too slow.
+        """
         timeout = eventlet.Timeout(self.header_timeout)
         try:
             parsed = super().parse_request()
--- a/whinrack/server/_services.py
+++ b/whinrack/server/_services.py
@@ -1,4 +1,4 @@
-"""``ANY /services/<pool>/<path>``: plain services, body and headers whole both ways."""
+"""``ANY /services/<pool>/<path>``: plain HTTP services, passed through in both directions."""
 
 from collections.abc import Iterator
 
@@ -20,7 +20,7 @@
 
 SERVICES_PREFIX = "/services/"
 _SAFE_METHODS = ("GET", "HEAD", "OPTIONS")
-# RFC 9110, section 9.2.2: these may be repeated by whoever passes them on.
+# RFC 9110, section 9.2.2: a proxy may repeat requests with these methods.
 _IDEMPOTENT_METHODS = (*_SAFE_METHODS, "PUT", "DELETE", "TRACE")
 _HOP_BY_HOP = {
     "connection",
@@ -37,12 +37,12 @@
 
 
 class ServiceCall(Call):
-    """One service request on its way.
+    """State of one service request while it is handled.
 
     Attributes
     ----------
     target_path : str
-        Path and query at the target, as the caller wrote them.
+        Path and query at the target, encoded as the caller sent them.
     """
 
     def __init__(self, target_path: str, **options):
@@ -51,7 +51,7 @@
 
 
 class ServiceEndpoint(CallRunner):
-    """Runs calls of plain services; they cost no tokens."""
+    """Endpoint that runs calls of plain services, which cost no tokens."""
 
     kind = "service"
 
@@ -132,7 +132,7 @@
         return Success(HttpAnswer(response.status, headers, self.caller_stream(call, body)))
 
     def _relay(self, call: Call, response, data: bytes, chunks: Iterator[bytes]):
-        """Yield a long body; a cut one ends the connection, so that it isn't whole."""
+        """Yield a long body; a cut one fails, so that the caller sees that it is incomplete."""
         is_complete = False
         try:
             call.answer.append(data)
@@ -153,7 +153,13 @@
 
 
 def _read_ahead(chunks: Iterator[bytes]) -> tuple[bytes, bool]:
-    """Read a body up to a limit; tells whether that was all of it."""
+    """Read the start of a body, up to a limit.
+
+    Returns
+    -------
+    tuple of bytes and bool
+        What was read, and whether that is the whole body.
+    """
     parts, size = [], 0
     for chunk in chunks:
         parts.append(chunk)
@@ -171,7 +177,7 @@
 
 
 def _forwarded_headers(call: Call) -> list[tuple[str, str]]:
-    """Return the caller's headers, without hop-by-hop ones and its key."""
+    """Return the caller's headers, without hop-by-hop headers and its API key."""
     raw = call.request.environ.get("headers_raw", ())
     named = {value.lower() for name, value in raw if name.lower() == "connection"}
     dropped = _NOT_FORWARDED | {part.strip() for value in named for part in value.split(",")}
--- a/whinrack/server/_settlement.py
+++ b/whinrack/server/_settlement.py
@@ -1,4 +1,4 @@
-"""The cover and the bill of one chat request."""
+"""Budget cover and bill of one chat request."""
 
 from returns.result import Failure
 
@@ -15,18 +15,18 @@
 
 
 class Settlement:
-    """Covers a request in full before it is sent, and settles it on what was used.
+    """Covers a request in full before it is sent, and bills the tokens that it used.
 
     Parameters
     ----------
     context : ServerContext
-        The daemon's parts.
+        Components of the daemon.
     caller : Caller
-        Who pays.
+        Workspace and budget that pay.
     identity : Identity
-        What the bill is for.
+        Identity of the billed request.
     token_bound : int
-        The proved bound on the request's tokens.
+        The proven upper bound on the request's tokens.
     provisional_against : str
         A lost incarnation that may have billed the request too, "" if there is none.
     """
@@ -48,7 +48,7 @@
         self._mark = 0
 
     def open(self) -> None:
-        """Set the bound aside.
+        """Reserve tokens up to the bound.
 
         Raises
         ------
@@ -66,19 +66,19 @@
         self._cover = cover.unwrap()
 
     def reopen(self) -> None:
-        """Cover a further attempt, if the last one's cover was written off."""
+        """Reserve cover for another attempt if the last one's was written off."""
         if self._cover is None:
             self.open()
 
     def settle(self, usage: Usage | None, events: int) -> None:
-        """Bill what was used; what the engine can't prove unused stays out of use.
+        """Bill the tokens used; tokens that the engine can't prove unused are not returned.
 
         Parameters
         ----------
         usage : Usage or None
-            The engine's count.
+            The engine's token counts, None if it did not report them.
         events : int
-            Content events that were seen, each at least one token.
+            Content events that were received, each of at least one token.
         """
         cover = self._cover
         if cover is None or cover.is_settled:
@@ -102,7 +102,7 @@
         self._mark = self.context.bill_keeper.add(record)
 
     def write_off(self, usage: Usage | None) -> None:
-        """Take the tokens of a try that may have run out of use, without a bill."""
+        """Withdraw the tokens of an attempt that may have run, without billing them."""
         cover = self._cover
         if cover is None or cover.is_settled:
             return
@@ -112,12 +112,12 @@
         self._cover = None
 
     def release(self) -> None:
-        """Give the whole cover back: nothing was sent."""
+        """Return the whole cover, as nothing was used."""
         if self._cover is not None:
             self._cover.settle(0)
 
     def wait_committed(self) -> None:
-        """Wait until the bill is kept, as long as the settings say."""
+        """Wait until the bill is committed, at most as long as the settings allow."""
         if not self._mark:
             return
         started = steady()
--- a/whinrack/server/_streams.py
+++ b/whinrack/server/_streams.py
@@ -1,4 +1,4 @@
-"""Streamed bodies towards callers: hang-ups, and answers joined from elsewhere."""
+"""Streamed bodies to callers: disconnects, and joined answers of other attempts."""
 
 from collections.abc import Iterator
 
@@ -14,16 +14,16 @@
 
 
 class CallerStream:
-    """A streamed body towards its caller.
+    """A streamed body to a caller.
 
-    When the caller hangs up, an answer that nobody can ask for again is ended at once.
-    A keyed one runs on for a while, so that a retry can join it; one that may not be
-    repeated runs to its end.
+    When the caller disconnects, an answer without an idempotency key is ended at once, as no
+    retry can join it. An answer with a key continues for a while, so that a retry can join
+    it; one of a request that may not be repeated continues to its end.
 
     Parameters
     ----------
     grace : float
-        Seconds that a keyed answer runs on without a reader.
+        Seconds for which an answer with a key continues without a reader.
     """
 
     def __init__(self, call: Call, body: Iterator[bytes], grace: float):
@@ -35,7 +35,7 @@
         return self.body
 
     def close(self) -> None:
-        """End or detach the body; the server calls this in every case."""
+        """End or detach the body; the WSGI server always calls this."""
         if self.call.has_ended or not self.call.identity.has_caller_key:
             self.body.close()
             return
@@ -52,7 +52,7 @@
 
 
 def joined_answer(parts: Iterator[AnswerPart]) -> HttpAnswer:
-    """Turn the parts of another try's answer into an answer for this caller."""
+    """Build an answer for this caller from the parts of another attempt's answer."""
     first = next(parts)
     headers = [*first.headers, ("Whinrack-Joined", "yes")]
     if any(name.lower() == "content-length" for name, _ in headers):
--- a/whinrack/server/_tasks.py
+++ b/whinrack/server/_tasks.py
@@ -1,4 +1,4 @@
-"""The daemon's background tasks: heartbeats, lists, load reports, token reports."""
+"""The daemon's background tasks: heartbeats, instance list, load reports, token reports."""
 
 import heapq
 from collections.abc import Callable
@@ -28,16 +28,16 @@
 
 
 class BackgroundTasks:
-    """What runs beside the requests.
+    """Runs the periodic tasks of a daemon.
 
     Parameters
     ----------
     context : ServerContext
-        The daemon's parts.
+        Components of the daemon.
     handlers : DaemonHandlers
-        Takes in what peers say.
+        Records the reports of peers.
     follower : ConfigFollower
-        Brings the configuration up to date.
+        Updates the configuration.
     store : ObjectStore
         The platform.
     """
@@ -60,7 +60,7 @@
         self._closed_budgets: set[str] = set()
 
     def start(self) -> None:
-        """Start every task."""
+        """Start all tasks."""
         membership = self.context.settings.membership
         budgets = self.context.settings.budgets
         self._run_periodically(membership.heartbeat_interval, self.beat)
@@ -72,10 +72,15 @@
         self._run_periodically(_RESTART_PAUSE, self.context.bill_keeper.run)
 
     def beat(self, to_all_peers: bool = False) -> None:
-        """Send heartbeats, and notice who is lost.
+        """Send heartbeats and detect lost members.
 
-        A heartbeat and its reply tell both sides, so a peer that was heard from within
-        the interval is left out, unless there is news for everyone.
+        A heartbeat and its reply inform both sides, so a peer that was heard from within
+        the interval is skipped.
+
+        Parameters
+        ----------
+        to_all_peers : bool
+            Send to peers that were heard from recently as well, because there is news for them.
         """
         own = self.context.own_member()
         leaving = sorted(self.context.table.leaving_instances(steady()))
@@ -87,7 +92,7 @@
         self._fetch_newer_config()
 
     def read_list(self) -> None:
-        """Read the platform's list of instances."""
+        """Update the membership from the platform's list of instances."""
         result = self.store.instances()
         if isinstance(result, Success) != self._is_platform_up:
             self._is_platform_up = not self._is_platform_up
@@ -97,7 +102,7 @@
             self.update_leaving()
 
     def report_tokens(self) -> None:
-        """Report settled tokens, and notice grants that an operator released."""
+        """Report settled tokens, and log grants that an operator has released."""
         self.context.budget_manager.report()
         for ledger in self.context.budget_manager.ledgers():
             if ledger.is_closed and ledger.budget not in self._closed_budgets:
@@ -105,7 +110,7 @@
                 log_event(Event.GRANT_CLOSED, budget=ledger.budget)
 
     def update_leaving(self) -> None:
-        """Let the pools know which instances leave."""
+        """Tell the pools which instances are leaving."""
         self.context.pool_directory.set_leaving_instances(
             self.context.table.leaving_instances(steady())
         )
@@ -121,7 +126,7 @@
         pool.waitall()
 
     def _targets_to_read(self) -> list[TargetView]:
-        """Return the targets to ask: all of few, of many those with most work of ours."""
+        """Return the targets to ask: all, or those with most requests from here if many."""
         targets = self.context.pool_directory.targets()
         if len(targets) <= _MAX_LOAD_READS:
             return targets
@@ -133,7 +138,7 @@
             self.context.pool_directory.record_load(target, load)
 
     def _heartbeat_addresses(self, to_all_peers: bool) -> list[str]:
-        """Return all peers of a small fleet, or a turning part of a large one."""
+        """Return all peers of a small fleet, or a rotating subset of a large one."""
         settings = self.context.settings
         seeds = settings.peer.seeds.split()
         addresses = [
@@ -167,7 +172,7 @@
         self.context.table.remove_silent(now, _FORGET_AFTER)
 
     def _fetch_newer_config(self) -> None:
-        """Fetch from a peer that has had newer configuration for some heartbeats."""
+        """Fetch the configuration of a peer that has had a newer one for some heartbeats."""
         members = self.context.table.live_members(steady())
         newest = max(members, key=lambda member: member.revision, default=None)
         if newest is None or newest.revision <= self.context.config.newest_version:
--- a/whinrack/server/_token_sources.py
+++ b/whinrack/server/_token_sources.py
@@ -1,4 +1,4 @@
-"""Where tokens come from: the region's drawer, the platform, and the peers."""
+"""Sources of budget tokens: the instance that draws for the region, the platform, peers."""
 
 from collections.abc import Iterable
 
@@ -25,14 +25,14 @@
 
 
 class RegionTokenSource(TokenSource):
-    """Sends orders to the region's drawer, or draws itself where that fails.
+    """Sends draw orders to the instance that draws for the region, or draws if that fails.
 
-    An order may reach the books by both ways; its sequence makes it count once.
+    An order may reach the books on both paths; its sequence number makes it count once.
 
     Parameters
     ----------
     own_member : callable
-        Returns this daemon's member record.
+        Returns the member record of this daemon.
     """
 
     def __init__(
@@ -50,7 +50,7 @@
         self.metrics = metrics
 
     def draw(self, order: DrawOrder) -> Result[DrawResult, WhinrackError]:
-        """Apply an order and return the books' state."""
+        """Apply a draw order and return the resulting state of the books."""
         own = self.own_member()
         chosen = self.table.drawing_incarnation(own, order.account, steady())
         member = None if chosen == own.incarnation else self.table.find(chosen)
@@ -69,12 +69,12 @@
 
 
 class PeerTokenSource(SpareTokenSource):
-    """Asks the peers that look alive, all at once, the own region's first.
+    """Asks the peers that seem alive concurrently, those of the same region first.
 
     Parameters
     ----------
     own_member : callable
-        Returns this daemon's member record.
+        Returns the member record of this daemon.
     """
 
     def __init__(self, own_member, table: MembershipTable, peer_client: PeerClient):
@@ -85,7 +85,7 @@
     def request_from_peers(
         self, budget: str, need: int, wish: int, received: dict[str, int]
     ) -> Iterable[TransferTotal]:
-        """Ask peers for tokens and yield what each has given in all."""
+        """Ask peers for tokens and yield the cumulative total that each has given."""
         own = self.own_member()
         members = self.table.live_members(steady())
         members.sort(key=lambda member: (member.region != own.region, member.name))
--- a/whinrack/server/tests/test_ownership.py
+++ b/whinrack/server/tests/test_ownership.py
@@ -1,4 +1,4 @@
-"""Who runs a request when several instances are asked for it at once."""
+"""Tests of which instance runs a request that several instances get at the same time."""
 
 from types import SimpleNamespace
 
@@ -18,7 +18,7 @@
 
 
 class FixedTable:
-    """A membership view in which one instance is the home of everything."""
+    """Stand-in for the membership table with one instance as the home of all requests."""
 
     def __init__(self, names):
         self.names = names
@@ -36,25 +36,29 @@
 
 
 class Fleet:
-    """Instances that ask one another by plain calls.
-
-    `before_answer` holds, by the name of the instance asked, what happens once between
-    its being asked and its answer: another instance's decision, say. `on_the_way` holds
-    what happens once between its answer and the arrival of that.
+    """Instances that consult one another by plain function calls.
+
+    Attributes
+    ----------
+    before_reply : dict of str to callable
+        Called once when the named instance is consulted, before it decides on its reply,
+        for example to let another instance decide in between.
+    after_reply : dict of str to callable
+        Called once after the named instance has decided on its reply, before that arrives.
     """
 
     def __init__(self, *names):
         self.memories = {name: RequestMemory(name) for name in names}
         self.lost = set()
-        self.before_answer = {}
-        self.on_the_way = {}
+        self.before_reply = {}
+        self.after_reply = {}
         self.owners = {name: OwnershipResolver(self._context(name, names)) for name in names}
 
     def resolve(self, name):
         return self.owners[name].resolve(IDENTITY, DIGEST, ticket=None, is_repeatable=True)
 
     def consult(self, address, query):
-        callback = self.before_answer.pop(address, None)
+        callback = self.before_reply.pop(address, None)
         if callback is not None:
             callback()
         if address in self.lost:
@@ -62,7 +66,7 @@
         reply = self.memories[address].consult(
             query.identity, query.digest, query.asker, query.lost_owner, query.repeatable, 0.0
         )
-        self.on_the_way.pop(address, lambda: None)()
+        self.after_reply.pop(address, lambda: None)()
         return Success(reply)
 
     def _context(self, name, names):
@@ -82,37 +86,37 @@
 
 
 def test_a_home_that_has_ceded_a_request_does_not_cede_it_again_while_it_asks(fleet):
-    """Its own caller comes after the first asker's, and a third while it asks the first."""
+    """The home gets a call of its own and is consulted again while it asks the owner."""
     decisions = {"a": fleet.resolve("a")}
-    fleet.before_answer["a"] = lambda: decisions.update(b=fleet.resolve("b"))
+    fleet.before_reply["a"] = lambda: decisions.update(b=fleet.resolve("b"))
     decisions[HOME] = fleet.resolve(HOME)
     assert decisions["a"] == RunHere()
     assert isinstance(decisions["b"], JoinPeer) and decisions["b"].member.name == "a"
     assert isinstance(decisions[HOME], JoinPeer) and decisions[HOME].member.name == "a"
 
 
-def test_two_callers_of_a_home_whose_owner_is_lost_get_one_run(fleet):
+def test_two_calls_at_a_home_with_a_lost_owner_run_the_request_once(fleet):
     fleet.resolve("a")
     fleet.lost.add("a")
     second = []
-    fleet.before_answer["a"] = lambda: second.append(fleet.resolve(HOME))
+    fleet.before_reply["a"] = lambda: second.append(fleet.resolve(HOME))
     first = fleet.resolve(HOME)
     kinds = sorted(type(decision).__name__ for decision in (first, *second))
     assert kinds == ["JoinHere", "RunHere"]
 
 
 def test_a_lost_owner_is_replaced_by_one_instance_only(fleet):
-    """The home finds the owner lost while another instance finds the same."""
+    """The home and another instance find the owner unreachable at the same time."""
     fleet.resolve("a")
     fleet.lost.add("a")
     decisions = {}
-    fleet.before_answer["a"] = lambda: decisions.update(b=fleet.resolve("b"))
+    fleet.before_reply["a"] = lambda: decisions.update(b=fleet.resolve("b"))
     decisions[HOME] = fleet.resolve(HOME)
     assert isinstance(decisions["b"], RunHere) and decisions["b"].provisional_against == "a"
     assert isinstance(decisions[HOME], JoinPeer) and decisions[HOME].member.name == "b"
 
 
-def test_a_refused_decision_leaves_the_owner_known_before(fleet):
+def test_a_refused_decision_keeps_the_known_owner(fleet):
     fleet.resolve("a")
     fleet.lost.add("a")
     owner = fleet.owners[HOME]
@@ -122,8 +126,8 @@
     assert (entry.owner, entry.state) == ("a", RunState.CEDED)
 
 
-def test_an_owner_to_be_is_waited_for_while_it_learns_of_its_ownership(fleet):
-    """The owner has ceded the request to its home, which hasn't heard so yet."""
+def test_an_instance_waits_for_an_owner_that_has_not_recorded_its_ownership(fleet):
+    """The owner has ceded the request to its home, which has not received the reply yet."""
     fleet.resolve("a")
     fleet.memories["a"].set_state(IDENTITY.name, RunState.NOT_RUN, 0.0)
     waiting = []
@@ -132,7 +136,7 @@
         waiting.append(eventlet.spawn(fleet.resolve, "b"))
         eventlet.sleep(0)
 
-    fleet.on_the_way["a"] = third_asks
+    fleet.after_reply["a"] = third_asks
     assert fleet.resolve(HOME) == RunHere()
     third = waiting[0].wait()
     assert isinstance(third, JoinPeer) and third.member.name == HOME
