--- a/whinrack/ejection/__init__.py
+++ b/whinrack/ejection/__init__.py
@@ -1,4 +1,4 @@
-"""When a target that fails from here is set aside."""
+"""Ejection of targets that fail."""
 
 from whinrack.ejection._policies import EjectionPolicy, LocalEjection, MajorityEjection
 
--- a/whinrack/ejection/_policies.py
+++ b/whinrack/ejection/_policies.py
@@ -1,9 +1,9 @@
-"""When a target that fails from here is set aside, and for how long.
+"""Policies that decide when a failing target is ejected, and for how long.
 
 References
 ----------
 "Consensus based failover with Pgpool-II" describes asking the other proxies before a
-back end is detached. `docs/design/ejection.md` compares that with ejecting alone.
+back end is detached. `docs/design/ejection.md` compares that with local ejection.
 """
 
 from collections.abc import Callable
@@ -12,36 +12,36 @@
 
 
 class EjectionPolicy:
-    """Decides from failures and answers whether a target is set aside here."""
+    """Base class of policies that eject a target on the failures this instance sees."""
 
     def record_failure(self, now: float) -> None:
-        """Learn of a failed or broken connection."""
+        """Record a failed or broken connection."""
         raise NotImplementedError
 
     def record_unreachable(self, now: float) -> None:
-        """Learn that no connection could be made; by default a failure like others."""
+        """Record that no connection could be made; by default a failure like any other."""
         self.record_failure(now)
 
     def record_success(self, now: float) -> None:
-        """Learn of an answer."""
+        """Record an answer from the target."""
         raise NotImplementedError
 
     def is_ejected(self, now: float) -> bool:
-        """Whether the target takes no work from here now."""
+        """Return whether this instance sends the target no work now."""
         raise NotImplementedError
 
 
 class LocalEjection(EjectionPolicy):
-    """Sets a target aside after some failures in a row, by this instance alone.
+    """Ejects a target after consecutive failures, on this instance's evidence alone.
 
-    When the time is over, one failure is enough to set it aside again, for longer.
+    Once an ejection has ended, a single failure ejects the target again, for longer.
 
     Parameters
     ----------
     failure_threshold : int
-        Failures in a row that set it aside.
+        Consecutive failures that eject the target.
     initial_seconds, max_seconds : float
-        Seconds it is set aside for the first time, and at most.
+        Duration of the first ejection, and of the longest.
 
     Examples
     --------
@@ -62,13 +62,13 @@
         self._ejected_until = float("-inf")
 
     def record_failure(self, now: float) -> None:
-        """Learn of a failed or broken connection."""
+        """Record a failed or broken connection."""
         self._consecutive_failures += 1
         if self._consecutive_failures >= self.failure_threshold and not self.is_ejected(now):
             self._eject(now)
 
     def record_unreachable(self, now: float) -> None:
-        """Set the target aside at once: each further try would cost its caller a wait."""
+        """Eject the target at once: each further attempt would cost its caller a timeout."""
         self._consecutive_failures = max(self._consecutive_failures + 1, self.failure_threshold)
         if not self.is_ejected(now):
             self._eject(now)
@@ -78,26 +78,26 @@
         self._next_seconds = min(self.max_seconds, self._next_seconds * 2)
 
     def record_success(self, now: float) -> None:
-        """Learn of an answer."""
+        """Record an answer from the target."""
         self._consecutive_failures = 0
         self._next_seconds = self.initial_seconds
         self._ejected_until = now
 
     def is_ejected(self, now: float) -> bool:
-        """Whether the target takes no work from here now."""
+        """Return whether this instance sends the target no work now."""
         return now < self._ejected_until
 
 
 class MajorityEjection(EjectionPolicy):
-    """Sets a target aside only when most peers see it fail as well.
+    """Ejects a target only when most of the instances that answer see it fail.
 
     Parameters
     ----------
     local : LocalEjection
-        What this instance would do by itself.
+        The policy that this instance would follow without its peers.
     ask_peers : callable
-        Returns how many of the peers that answered see the target fail, and how many
-        answered.
+        Takes the clock time. Returns how many of the peers that answered see the target
+        fail, and how many answered.
     """
 
     def __init__(self, local: LocalEjection, ask_peers: Callable[[float], tuple[int, int]]):
@@ -106,7 +106,7 @@
         self._ejected_until = float("-inf")
 
     def record_failure(self, now: float) -> None:
-        """Learn of a failure, and ask the peers where it would set the target aside."""
+        """Record a failure, and ask the peers if the local policy would eject the target."""
         self.local.record_failure(now)
         if not self.local.is_ejected(now) or now < self._ejected_until:
             return
@@ -115,10 +115,10 @@
             self._ejected_until = self.local._ejected_until
 
     def record_success(self, now: float) -> None:
-        """Learn of an answer."""
+        """Record an answer from the target."""
         self.local.record_success(now)
         self._ejected_until = now
 
     def is_ejected(self, now: float) -> bool:
-        """Whether the target takes no work from here now."""
+        """Return whether this instance sends the target no work now."""
         return now < self._ejected_until
--- a/whinrack/routing/__init__.py
+++ b/whinrack/routing/__init__.py
@@ -1,4 +1,4 @@
-"""Routing: programs, choice of targets, queues, limits and retries."""
+"""Routing: programs, choice of targets, queues, concurrency limits and retries."""
 
 from whinrack.ejection import EjectionPolicy, LocalEjection, MajorityEjection
 from whinrack.routing._pickers import AffinityPicker, Picker, RandomPicker, TwoChoicesPicker
--- a/whinrack/routing/_pickers.py
+++ b/whinrack/routing/_pickers.py
@@ -1,4 +1,4 @@
-"""Choosing a target inside a pool; every picker has the same one method."""
+"""Load-balancing strategies that choose a target inside a pool."""
 
 import random
 from collections.abc import Sequence
@@ -12,20 +12,20 @@
 
 
 class Picker:
-    """Chooses one of the targets that have room."""
+    """Base class of the strategies that choose one of the targets with room."""
 
     def pick(self, targets: Sequence[TargetView], key: str, now: float) -> TargetView | None:
-        """Return a target, None if there are none to choose from."""
+        """Choose a target; None if `targets` is empty."""
         raise NotImplementedError
 
 
 class RandomPicker(Picker):
-    """Any target, whatever its load; the baseline that others are measured against.
+    """Chooses any target, whatever its load; the baseline for other strategies.
 
     Parameters
     ----------
     seed : int, optional
-        Seeds the choice.
+        Seed of the random choice.
     """
 
     def __init__(self, seed: int | None = None):
@@ -33,20 +33,20 @@
         self._random = random.Random(seed)
 
     def pick(self, targets: Sequence[TargetView], key: str, now: float) -> TargetView | None:
-        """Return a target, None if there are none to choose from."""
+        """Choose a target; None if `targets` is empty."""
         return self._random.choice(targets) if targets else None
 
 
 class TwoChoicesPicker(Picker):
-    """The less loaded of two random targets.
+    """Chooses the less loaded of two random targets.
 
-    Loads are known late, and many instances that all go for the least loaded target
-    overrun it together; two random choices do not.
+    Known loads lag behind, so many instances that all choose the least loaded target
+    overload it together; two random choices avoid that.
 
     Parameters
     ----------
     seed : int, optional
-        Seeds the choice.
+        Seed of the random choice.
 
     References
     ----------
@@ -58,7 +58,7 @@
         self._random = random.Random(seed)
 
     def pick(self, targets: Sequence[TargetView], key: str, now: float) -> TargetView | None:
-        """Return a target, None if there are none to choose from."""
+        """Choose a target; None if `targets` is empty."""
         if not targets:
             return None
         sample = self._random.sample(targets, min(2, len(targets)))
@@ -66,14 +66,14 @@
 
 
 class AffinityPicker(Picker):
-    """The target that likely has the prompt's prefix cached, within bounds on its load.
+    """Prefers targets that probably have the prompt's prefix cached, within a load bound.
 
     Parameters
     ----------
     fallback : Picker
-        Chooses where every preferred target is loaded beyond the bound.
+        Chooses a target when every preferred one is loaded beyond the bound.
     max_load_ratio : float
-        How many times the mean load a preferred target may have.
+        Largest load of a preferred target, as a multiple of the mean load.
 
     References
     ----------
@@ -85,7 +85,7 @@
         self.max_load_ratio = max_load_ratio
 
     def pick(self, targets: Sequence[TargetView], key: str, now: float) -> TargetView | None:
-        """Return a target, None if there are none to choose from."""
+        """Choose a target; None if `targets` is empty."""
         if not targets:
             return None
         mean = sum(target.estimate_load(now) for target in targets) / len(targets)
--- a/whinrack/routing/_pools.py
+++ b/whinrack/routing/_pools.py
@@ -1,4 +1,4 @@
-"""A pool's targets and queue together: who may start where, now."""
+"""State of a pool: its targets, queue and retry budget, and the choice of a target."""
 
 import math
 import random
@@ -21,14 +21,14 @@
 
 
 class PickQuery(msgspec.Struct, frozen=True, kw_only=True):
-    """What a request asks of a pool.
+    """What a request needs from the target that a pool chooses.
 
     Attributes
     ----------
     affinity_key : str
-        Requests with the same key likely share a cached prompt prefix.
+        Requests with the same key probably share a cached prompt prefix.
     avoided_targets : tuple of str
-        Targets that an earlier attempt failed at.
+        Targets at which an earlier attempt failed; chosen only if no other has room.
     """
 
     request_class: RequestClass
@@ -38,16 +38,16 @@
 
 
 class PoolState:
-    """One pool as this instance sees it. Decisions only, no I/O.
+    """State of one pool as this instance knows it. Performs no I/O.
 
     Parameters
     ----------
     name : str
-        The TargetPool object's name.
+        Name of the TargetPool object.
     spec : TargetPool
         The declaration in force.
     seed : int, optional
-        Seeds the pickers.
+        Seed of the pickers.
     """
 
     def __init__(self, name: str, spec: TargetPool, seed: int | None = None):
@@ -67,28 +67,28 @@
         }
 
     def update(self, spec: TargetPool) -> None:
-        """Take in a newer declaration."""
+        """Apply a newer declaration."""
         self.spec = spec
         self.queue.limit = spec.queue_limit
 
     def add(self, target: TargetView) -> None:
-        """Take in a target."""
+        """Add a target."""
         self.targets[target.name] = target
         self._sort_targets()
 
     def remove(self, name: str) -> None:
-        """Forget a target, if it is here."""
+        """Remove a target if the pool has it."""
         if self.targets.pop(name, None) is not None:
             self._sort_targets()
 
     def slots(self, now: float) -> int:
-        """Return how many requests the pool's targets run at once."""
+        """Return how many requests the pool's targets can run at once."""
         return math.floor(
             sum(t.concurrency_limit for t in self.targets.values() if t.accepts_work(now))
         )
 
     def facts(self, now: float) -> PoolFacts:
-        """Return what routing programs see, at most some moments old."""
+        """Return the facts for routing programs, cached for a fraction of a second."""
         if (
             self._cached_facts is not None
             and 0.0 <= now - self._cached_facts[0] < _MAX_FACTS_AGE_SECONDS
@@ -106,18 +106,24 @@
         return PoolFacts(targets=len(available), queued=len(self.queue), busy=busy)
 
     def has_available_target(self, now: float) -> bool:
-        """Whether any target takes work."""
+        """Return whether any target accepts work."""
         return any(target.accepts_work(now) for target in self.targets.values())
 
     def shortest_backoff(self, now: float) -> float | None:
-        """Return the seconds until the first back-off ends, None if there is none."""
+        """Return the seconds until the first back-off ends; None if no target backs off."""
         left = [
             target.backoff_until - now for target in self.targets.values() if not target.is_leaving
         ]
         return min((seconds for seconds in left if seconds > 0.0), default=None)
 
     def pick(self, query: PickQuery, now: float) -> TargetView | None:
-        """Choose a target that has room and count the request there; None if none has."""
+        """Choose a target that has room, and count the request as started there.
+
+        Returns
+        -------
+        TargetView or None
+            None if no target has room for a request of this class.
+        """
         if query.request_class is RequestClass.DEFERRABLE and not self._has_room_for_deferrable(
             now
         ):
@@ -129,7 +135,7 @@
         return target
 
     def _candidates(self, query: PickQuery, now: float) -> Sequence[TargetView]:
-        """Return targets with room; of a large pool a sample, if enough of it has room."""
+        """Return targets with room; for a large pool, a sample if enough of it has room."""
         if len(self._sorted_targets) > _SAMPLE_SIZE and query.spread is Spread.TWO_CHOICES:
             sample = self._random.sample(self._sorted_targets, _SAMPLE_SIZE)
             with_room = [target for target in sample if target.has_room(now)]
@@ -140,13 +146,13 @@
         return preferred or with_room
 
     def _has_room_for_deferrable(self, now: float) -> bool:
-        """Whether deferrable work leaves room for interactive work to start at once."""
+        """Return whether interactive work can still start at once beside deferrable work."""
         available = [target for target in self._sorted_targets if target.accepts_work(now)]
         load = sum(target.estimate_load(now) for target in available)
         slots = sum(target.concurrency_limit for target in available)
         return load < max(1.0, slots * _DEFERRABLE_LOAD_SHARE)
 
     def _sort_targets(self) -> None:
-        """Keep the targets in the order of their names: choices don't depend on arrival."""
+        """Sort the targets by name, so that choices don't depend on the order of arrival."""
         self._sorted_targets = tuple(self.targets[name] for name in sorted(self.targets))
         self._cached_facts = None
--- a/whinrack/routing/_program.py
+++ b/whinrack/routing/_program.py
@@ -1,7 +1,7 @@
 """Routing programs: one CEL expression, evaluated once for each request.
 
-CEL has no loops beyond macros over given lists, so every program ends; the facts are
-bounded by the number of pools, never by the number of targets.
+CEL has no loops beyond macros over given lists, so every program terminates. The size of
+the facts depends on the number of pools, never on the number of targets.
 """
 
 import math
@@ -30,14 +30,14 @@
 
 
 class Spread(StrEnum):
-    """How a target is chosen inside the pool."""
+    """Strategy for choosing a target inside a pool."""
 
     TWO_CHOICES = "two_choices"
     AFFINITY = "affinity"
 
 
 class RequestFacts(msgspec.Struct, frozen=True, kw_only=True):
-    """What a program sees as `request`."""
+    """Facts about a request, which a program sees as `request`."""
 
     workspace: str
     request_class: RequestClass
@@ -49,7 +49,17 @@
 
 
 class PoolFacts(msgspec.Struct, frozen=True, kw_only=True):
-    """What a program sees of each pool that serves the request, in `pools`."""
+    """Facts about one pool that serves the request, which a program sees in `pools`.
+
+    Attributes
+    ----------
+    targets : int
+        Targets that accept work.
+    queued : int
+        Requests in the pool's queue.
+    busy : float
+        Estimated load as a share of the targets' concurrency limits; 1 without targets.
+    """
 
     targets: int = 0
     queued: int = 0
@@ -57,18 +67,18 @@
 
 
 class RouteDecision(msgspec.Struct, frozen=True, kw_only=True):
-    """What a program decides.
+    """The result of a routing program.
 
     Attributes
     ----------
     pools : tuple of str
         Pools in the order they are tried.
     attempts : int
-        Most tries at targets, the first included.
+        Maximum number of attempts at targets, including the first.
     wait : float
-        Seconds the request may queue.
+        Maximum number of seconds in the queue.
     repeatable : bool
-        False makes the request not repeatable; True changes nothing.
+        False makes the request not repeatable; True leaves it as it is.
     """
 
     pools: tuple[str, ...]
@@ -85,7 +95,7 @@
     Parameters
     ----------
     source : str
-        A CEL expression over `request` and `pools` that gives a map with any of
+        A CEL expression over `request` and `pools` that evaluates to a map with any of
         `pools`, `class`, `attempts`, `wait`, `spread` and `repeatable`.
 
     Raises
@@ -104,7 +114,9 @@
     def __init__(self, source: str):
         self.source = source
         if len(source) > _MAX_PROGRAM_LENGTH:
-            raise PolicyFailure(f"allowed are {_MAX_PROGRAM_LENGTH} characters, got {len(source)}")
+            raise PolicyFailure(
+                f"the program: allowed are {_MAX_PROGRAM_LENGTH} characters, got {len(source)}"
+            )
         try:
             self._program = cel.compile(source)
         except ValueError as error:
@@ -123,13 +135,13 @@
             return Success(_parse_decision(value, request, tuple(pools)))
         except PolicyFailure as error:
             return Failure(error)
-        # The library raises errors of many types, according to what went wrong.
+        # The CEL library raises exceptions of many types, depending on the fault.
         except Exception as error:
             return Failure(PolicyFailure(f"{type(error).__name__}: {error}"))
 
 
 def default_decision(request: RequestFacts, pools: tuple[str, ...]) -> RouteDecision:
-    """Return the documented default: all serving pools by name, two attempts."""
+    """Return the documented default: all serving pools sorted by name, two attempts."""
     return RouteDecision(pools=tuple(sorted(pools)), request_class=request.request_class)
 
 
@@ -145,7 +157,7 @@
     unknown = set(value) - _DECISION_FIELDS
     if unknown:
         raise PolicyFailure(
-            f"the result: allowed are {sorted(_DECISION_FIELDS)}, got {sorted(unknown)}"
+            f"the result: allowed keys are {sorted(_DECISION_FIELDS)}, got {sorted(unknown)}"
         )
     default = default_decision(request, serving)
     requested = value.get("pools", list(default.pools))
--- a/whinrack/routing/_queue.py
+++ b/whinrack/routing/_queue.py
@@ -1,4 +1,4 @@
-"""A pool's bounded queue, by class and deadline."""
+"""Bounded queue of a pool, ordered by request class and deadline."""
 
 from collections.abc import Callable
 
@@ -18,14 +18,18 @@
 
 
 class QueuedRequest(msgspec.Struct, eq=False):
-    """A request in the queue.
+    """A request that waits in the queue of a pool.
 
     Attributes
     ----------
     deadline : float
-        Clock time by which it must be started.
+        Clock time by which the request must be started.
     wake : callable
-        Called once, when a slot may be free or `refusal` is set.
+        Called when a slot may be free or `refusal` is set.
+    refusal : Refusal or None
+        Set when the request was removed in favour of a more urgent one.
+    sequence : int
+        Order of arrival; breaks ties.
     """
 
     request_class: RequestClass
@@ -36,16 +40,16 @@
 
 
 class PoolQueue:
-    """Who waits for a pool, in what order. Decisions only, no I/O.
+    """Priority queue of the requests that wait for a pool. Performs no I/O.
 
-    Alerts go first, then interactive requests, then deferrable ones; a deferrable
+    Alerts go first, then interactive requests, then deferrable ones. A deferrable
     request whose deadline is near ranks as interactive, so that it still finishes.
     Within a rank the earliest deadline goes first.
 
     Parameters
     ----------
     limit : int
-        Most waiting requests.
+        Maximum number of waiting requests.
     """
 
     def __init__(self, limit: int):
@@ -60,12 +64,17 @@
     def enqueue(
         self, request: QueuedRequest, slots: int, now: float
     ) -> Result[QueuedRequest, Refusal]:
-        """Queue a request, or refuse it at once if it can't be met.
+        """Queue a request, or refuse it at once if it can't be started in time.
 
         Parameters
         ----------
         slots : int
             Requests that the pool's targets can run at once.
+
+        Returns
+        -------
+        Result
+            The request, or the refusal if it would miss its deadline or the queue is full.
         """
         ahead = sum(1 for other in self._requests if self._rank(other, now) <= _class_rank(request))
         expected = self.expected_wait(ahead, slots)
@@ -89,24 +98,30 @@
         return Success(request)
 
     def remove(self, request: QueuedRequest) -> None:
-        """Take a request out of the queue; does nothing if it isn't in it."""
+        """Remove a request from the queue if it is there."""
         if request in self._requests:
             self._requests.remove(request)
 
     def peek(self, now: float) -> QueuedRequest | None:
-        """Return who is served next."""
+        """Return the request to be served next; None if the queue is empty."""
         return min(self._requests, key=lambda request: self._sort_key(request, now), default=None)
 
     def record_service_time(self, seconds: float) -> None:
-        """Learn how long a request takes a slot."""
+        """Update the moving average of the seconds for which a request occupies a slot."""
         self.service_time += _SERVICE_TIME_WEIGHT * (seconds - self.service_time)
 
     def expected_wait(self, ahead: int, slots: int) -> float:
-        """Estimate the seconds until a request with `ahead` before it is started."""
+        """Estimate the seconds until a request with `ahead` others before it is started."""
         return (ahead + 1) * self.service_time / max(1, slots)
 
     def _displace_last(self, new_request: QueuedRequest, slots: int, now: float) -> bool:
-        """Refuse the last deferrable request in favour of a more urgent one."""
+        """Remove and refuse the last request if the new one is more urgent.
+
+        Returns
+        -------
+        bool
+            Whether a request was removed.
+        """
         last = max(self._requests, key=lambda request: self._sort_key(request, now))
         if self._rank(last, now) <= _class_rank(new_request):
             return False
--- a/whinrack/routing/_retries.py
+++ b/whinrack/routing/_retries.py
@@ -1,17 +1,17 @@
-"""A budget for retries: a share of the traffic, so that they can't add to an overload."""
+"""Retry budget: limits retries to a share of the traffic, so that they can't add to an overload."""
 
 __all__ = ["RetryBudget"]
 
 
 class RetryBudget:
-    """Permits retries as a share of requests.
+    """Token bucket that permits retries in proportion to requests.
 
     Parameters
     ----------
     ratio : float
-        Retries for each request.
+        Retries permitted for each request.
     max_permits : float
-        Retries that are permitted before any traffic, and saved up at most.
+        Permits that are available before any traffic, and the most that can be saved up.
 
     Examples
     --------
@@ -32,7 +32,13 @@
         self._permits = min(self.max_permits, self._permits + self.ratio)
 
     def try_acquire(self) -> bool:
-        """Take a permit for one retry, if there is one."""
+        """Take a permit for one retry.
+
+        Returns
+        -------
+        bool
+            False if none is left.
+        """
         if self._permits < 1.0:
             return False
         self._permits -= 1.0
--- a/whinrack/routing/_targets.py
+++ b/whinrack/routing/_targets.py
@@ -1,4 +1,4 @@
-"""What this instance knows of each target: load, limit, health, leaving."""
+"""State of a target as this instance knows it: load, concurrency limit, health, leaving."""
 
 import msgspec
 
@@ -15,16 +15,16 @@
 
 
 class LoadReport(msgspec.Struct, frozen=True):
-    """A target's own word on its load, which lags.
+    """A target's own report of its load, which lags behind.
 
     Attributes
     ----------
     running, waiting : int
-        Requests at the target.
+        Requests that run and wait at the target.
     received_at : float
-        Clock time here at which the report arrived.
+        Clock time at which the report arrived at this instance.
     own_in_flight : int
-        Requests of this instance that were in flight then.
+        Requests of this instance that were in flight at that time.
     """
 
     running: int
@@ -34,23 +34,23 @@
 
 
 class TargetView:
-    """One target as this instance sees it. Decisions only, no I/O.
+    """State of one target as this instance knows it. Performs no I/O.
 
     Parameters
     ----------
     name : str
-        The Target object's name.
+        Name of the Target object.
     spec : Target
         The declaration in force.
     ejection : EjectionPolicy
-        Decides when failures set the target aside.
+        Decides when failures eject the target.
     """
 
     def __init__(self, name: str, spec: Target, ejection: EjectionPolicy):
         self.name = name
         self.spec = spec
         self.ejection = ejection
-        # Learnt at run time.
+        # State at run time.
         self.in_flight = 0
         self.concurrency_limit = float(spec.max_concurrency)
         self.report: LoadReport | None = None
@@ -60,27 +60,27 @@
 
     @property
     def is_leaving(self) -> bool:
-        """Whether any source says that the target is leaving."""
+        """Whether the declaration, the instance list or a load report says it is leaving."""
         declared = self.spec.state is TargetState.LEAVING
         return declared or self.is_instance_leaving or self.has_reported_leaving
 
     def update(self, spec: Target) -> None:
-        """Take in a newer declaration."""
+        """Apply a newer declaration."""
         if spec.max_concurrency != self.spec.max_concurrency:
             self.concurrency_limit = float(spec.max_concurrency)
         self.spec = spec
 
     def accepts_work(self, now: float) -> bool:
-        """Whether new work may go to the target at all."""
+        """Return whether new work may be sent to the target at all."""
         return (
             not self.is_leaving and now >= self.backoff_until and not self.ejection.is_ejected(now)
         )
 
     def estimate_load(self, now: float) -> float:
-        """Estimate the requests at the target, from all instances.
+        """Estimate the number of requests at the target, from all instances.
 
-        Own requests in flight count at once. What others had there when the report
-        was made is discounted by the report's age.
+        Requests of this instance count at once. Those of other instances are taken from
+        the last report and discounted by its age.
         """
         if self.report is None:
             return float(self.in_flight)
@@ -91,7 +91,7 @@
         return self.in_flight + foreign_requests * 0.5 ** (age / _REPORT_HALF_LIFE)
 
     def has_room(self, now: float) -> bool:
-        """Whether one more request fits under the limit."""
+        """Return whether one more request fits under the concurrency limit."""
         return self.accepts_work(now) and self.estimate_load(now) < self.concurrency_limit
 
     def begin_request(self) -> None:
@@ -99,11 +99,11 @@
         self.in_flight += 1
 
     def end_request(self) -> None:
-        """Count a request that ended, in whatever way."""
+        """Count a request that ended, with whatever result."""
         self.in_flight -= 1
 
     def record_success(self, now: float) -> None:
-        """Learn from an answer."""
+        """Record an answer, and raise the concurrency limit."""
         self.ejection.record_success(now)
         max_limit = float(self.spec.max_concurrency)
         self.concurrency_limit = min(
@@ -111,16 +111,16 @@
         )
 
     def start_backoff(self, seconds: float, now: float) -> None:
-        """Learn that the target takes nothing from this instance for a while."""
+        """Send the target nothing for some seconds, because it asked for that."""
         self.backoff_until = max(self.backoff_until, now + min(seconds, LONGEST_BACKOFF_SECONDS))
 
     def record_overload(self) -> None:
-        """Learn from the target's word that it is busy."""
+        """Record that the target reported overload, and lower the concurrency limit."""
         self.concurrency_limit = max(
             _MIN_CONCURRENCY_LIMIT,
             min(self.concurrency_limit, self.in_flight + 1.0) * _DECREASE_FACTOR,
         )
 
     def record_failure(self, now: float) -> None:
-        """Learn from a connection that failed or broke."""
+        """Record a failed or broken connection."""
         self.ejection.record_failure(now)
--- a/whinrack/routing/tests/test_routing.py
+++ b/whinrack/routing/tests/test_routing.py
@@ -1,4 +1,4 @@
-"""Programs, pickers, queues, limits, ejection and retries."""
+"""Tests of routing programs, pickers, queues, concurrency limits and ejection."""
 
 import pytest
 from returns.result import Failure, Success
@@ -47,7 +47,7 @@
 # --- programs ------------------------------------------------------------------------
 
 
-def test_a_program_sees_the_request_and_decides():
+def test_a_program_decides_on_the_facts_of_a_request():
     program = RoutingProgram(
         '{"pools": request.class == "deferrable" ? ["slow", "gone"] : ["fast"],'
         ' "wait": 3, "spread": "affinity", "class": "interactive"}'
@@ -72,13 +72,13 @@
         '{"pools": 3}',
     ],
 )
-def test_a_wrong_program_fails_with_a_type(source):
+def test_an_invalid_decision_is_a_policy_failure(source):
     result = RoutingProgram(source).decide(FACTS, POOLS)
     assert isinstance(result.failure(), PolicyFailure)
 
 
 @pytest.mark.parametrize("source", ["1 +", "x" * 10_000])
-def test_what_does_not_compile_is_refused(source):
+def test_a_program_that_does_not_compile_is_rejected(source):
     with pytest.raises(PolicyFailure):
         RoutingProgram(source)
 
@@ -86,7 +86,7 @@
 # --- targets and pickers -------------------------------------------------------------
 
 
-def test_own_requests_count_at_once_and_old_reports_fade():
+def test_own_requests_count_at_once_and_old_reports_are_discounted():
     target = make_target("t")
     target.report = LoadReport(running=4, waiting=0, received_at=0.0, own_in_flight=0)
     target.begin_request()
@@ -94,7 +94,7 @@
     assert target.estimate_load(2.0) == 3.0
 
 
-def test_a_leaving_target_takes_nothing_whoever_says_so():
+def test_a_target_that_any_source_reports_as_leaving_accepts_no_work():
     declared = make_target("t", state=TargetState.LEAVING)
     listed = make_target("u")
     listed.is_instance_leaving = True
@@ -102,7 +102,7 @@
     assert not listed.accepts_work(0.0)
 
 
-def test_a_target_takes_nothing_in_a_back_off_and_the_longest_counts():
+def test_a_target_accepts_no_work_until_its_longest_back_off_ends():
     target = make_target("t")
     target.start_backoff(3.0, now=10.0)
     target.start_backoff(1.0, now=11.0)
@@ -112,7 +112,7 @@
     assert target.accepts_work(20.0 + 3600.0)
 
 
-def test_limit_falls_when_the_target_is_busy_and_recovers():
+def test_concurrency_limit_falls_on_overload_and_recovers():
     target = make_target("t", limit=8)
     for _ in range(4):
         target.begin_request()
@@ -126,13 +126,13 @@
 @pytest.mark.parametrize(
     "picker", [RandomPicker(1), TwoChoicesPicker(1), AffinityPicker(RandomPicker(1))]
 )
-def test_every_picker_takes_one_of_the_given_or_none(picker):
+def test_every_picker_chooses_a_given_target_or_none(picker):
     targets = [make_target("a"), make_target("b")]
     assert picker.pick(targets, "key", 0.0) in targets
     assert picker.pick([], "key", 0.0) is None
 
 
-def test_two_choices_even_out_the_load_better_than_chance():
+def test_two_choices_balance_load_better_than_random_choice():
     spreads = {}
     for picker in (RandomPicker(1), TwoChoicesPicker(1)):
         targets = [make_target(f"t{index}", limit=100) for index in range(10)]
@@ -143,7 +143,7 @@
     assert spreads[TwoChoicesPicker] * 3 < spreads[RandomPicker]
 
 
-def test_affinity_stays_until_the_load_is_out_of_balance():
+def test_affinity_keeps_a_target_until_its_load_exceeds_the_bound():
     targets = [make_target(f"t{index}", limit=100) for index in range(5)]
     picker = AffinityPicker(TwoChoicesPicker(1))
     first = picker.pick(targets, "prefix", 0.0)
@@ -156,7 +156,7 @@
 # --- ejection ------------------------------------------------------------------------
 
 
-def test_ejection_lasts_longer_each_time_and_ends_with_an_answer():
+def test_ejection_lasts_longer_each_time_and_resets_with_an_answer():
     policy = LocalEjection(failure_threshold=2, initial_seconds=1.0)
     for now in (0.0, 0.1, 1.2):
         policy.record_failure(now)
@@ -168,7 +168,7 @@
 
 
 @pytest.mark.parametrize(("failing", "ejected"), [(0, False), (3, True)])
-def test_a_vote_ejects_only_with_most_peers(failing, ejected):
+def test_majority_ejection_needs_most_peers_to_see_failures(failing, ejected):
     policy = MajorityEjection(LocalEjection(failure_threshold=1), lambda now: (failing, 4))
     policy.record_failure(0.0)
     assert policy.is_ejected(0.1) is ejected
@@ -177,7 +177,7 @@
 # --- queues --------------------------------------------------------------------------
 
 
-def test_order_is_by_class_then_deadline_and_what_can_wait_still_finishes():
+def test_order_is_by_class_then_deadline_and_urgent_deferrable_work_advances():
     queue = PoolQueue(limit=10)
     late = make_request(RequestClass.DEFERRABLE, deadline=100.0)
     soon = make_request(RequestClass.INTERACTIVE, deadline=50.0)
@@ -196,7 +196,7 @@
     assert queue.peek(99.0) is late
 
 
-def test_what_cannot_be_met_is_refused_at_once_with_when_to_come_back():
+def test_a_request_that_would_miss_its_deadline_is_refused_with_retry_after():
     queue = PoolQueue(limit=100)
     queue.service_time = 2.0
     for _ in range(5):
@@ -206,7 +206,7 @@
     assert refusal.retry_after == pytest.approx(12.0)
 
 
-def test_a_full_queue_sends_deferrable_work_away_for_urgent_work():
+def test_a_full_queue_displaces_deferrable_work_for_urgent_work():
     queue = PoolQueue(limit=2)
     woken = []
     last = QueuedRequest(RequestClass.DEFERRABLE, 100.0, lambda: woken.append(1))
@@ -233,7 +233,7 @@
     assert state.pick(INTERACTIVE, 0.0) is not None
 
 
-def test_another_attempt_avoids_where_the_last_one_failed():
+def test_another_attempt_avoids_the_target_that_failed():
     state = make_pool(count=2)
     query = PickQuery(request_class=RequestClass.INTERACTIVE, avoided_targets=("t0",))
     assert {state.pick(query, 0.0).name for _ in range(4)} == {"t1"}
