--- a/whinrack/peers/__init__.py
+++ b/whinrack/peers/__init__.py
@@ -1,4 +1,4 @@
-"""Calls between the daemons."""
+"""gRPC calls between the daemons: client, server and TLS."""
 
 from whinrack.peers._bridge import run_coroutine, run_in_green_thread
 from whinrack.peers._client import PeerClient
--- a/whinrack/peers/_bridge.py
+++ b/whinrack/peers/_bridge.py
@@ -1,6 +1,6 @@
-"""Where green threads and coroutines meet, on one event loop.
+"""Bridge between eventlet green threads and asyncio coroutines on one event loop.
 
-eventlet's asyncio hub runs both. Everything that knows of both worlds is here, so that
+eventlet's asyncio hub runs both. All code that depends on both is in this module, so that
 the rest could move off eventlet, whose maintainers advise against new use.
 """
 
@@ -39,7 +39,7 @@
 
 
 async def run_in_green_thread(function: Callable[..., T], *args: object) -> T:
-    """Run a blocking function in a green thread of its own and await its result."""
+    """Run a blocking function in a new green thread and await its result."""
     future = asyncio.get_running_loop().create_future()
 
     def run() -> None:
--- a/whinrack/peers/_client.py
+++ b/whinrack/peers/_client.py
@@ -1,4 +1,4 @@
-"""The gRPC side that asks peers, called from green threads."""
+"""gRPC client for calls to peers, used from green threads."""
 
 import asyncio
 from collections.abc import Iterator, Sequence
@@ -34,18 +34,18 @@
 
 
 class PeerClient:
-    """Calls to peers by their address; every failure is a `PeerUnavailable`.
+    """Calls peers by address; a failed connection or call is a `PeerUnavailable`.
 
     Parameters
     ----------
     fleet_key : str
-        Shown with each call.
+        Sent as metadata of each call.
     timeout : float
-        Seconds a call may take.
+        Seconds that a call may take.
     metrics : Metrics
-        Counts calls by result.
+        Counts the calls by result.
     tls : ssl.SSLContext, optional
-        Shows a certificate.
+        Presents a client certificate.
     """
 
     def __init__(self, fleet_key: str, timeout: float, metrics: Metrics, tls=None):
@@ -58,7 +58,7 @@
     def send_heartbeat(
         self, address: str, sender: Member, leaving: Sequence[str]
     ) -> Result[PeerReport, WhinrackError]:
-        """Send a heartbeat and return the peer's own word."""
+        """Send a heartbeat and return the peer's report on itself."""
         request = pb.HeartbeatRequest(sender=_codec.member_to_pb(sender), leaving_targets=leaving)
         reply = self._call("Heartbeat", address, request, self.timeout)
         return reply.map(
@@ -69,7 +69,7 @@
         )
 
     def draw(self, address: str, order: DrawOrder) -> Result[DrawResult, WhinrackError]:
-        """Have a peer draw from the platform."""
+        """Have a peer draw tokens from the platform."""
         request = pb.DrawRequest(draw=_codec.order_to_pb(order))
         reply = self._call("DrawTokens", address, request, self.timeout * _DRAW_TIMEOUT_FACTOR)
         if isinstance(reply, Failure):
@@ -88,7 +88,13 @@
         need: int,
         wish: int,
     ) -> Result[int, WhinrackError]:
-        """Ask a peer for tokens; returns its cumulative total."""
+        """Ask a peer for spare tokens.
+
+        Returns
+        -------
+        Result
+            The total that the peer has given so far, earlier transfers included.
+        """
         request = pb.SpareRequest(
             budget=budget,
             receiver=receiver,
@@ -100,7 +106,7 @@
         return reply.map(lambda message: message.given)
 
     def consult(self, address: str, query: ConsultQuery) -> Result[ConsultReply, WhinrackError]:
-        """Ask whether this incarnation may run a request."""
+        """Ask a peer whether this incarnation may run a request."""
         request = pb.ConsultRequest(
             identity=query.identity,
             body_hash=query.digest,
@@ -115,18 +121,18 @@
     def hand_over(
         self, address: str, home: str, entries: Sequence[HandoverEntry]
     ) -> Result[None, WhinrackError]:
-        """Give a peer the part of a stopping home's memory that it will be asked for."""
+        """Give a peer the part of a stopping home's request memory that it takes over."""
         messages = [_codec.handover_entry_to_pb(entry) for entry in entries]
         request = pb.HandoverRequest(home=home, entries=messages)
         return self._call("Handover", address, request, self.timeout).map(lambda _reply: None)
 
     def join_answer(self, address: str, identity: str) -> Iterator[AnswerPart]:
-        """Yield the parts of an answer that a peer has.
+        """Yield the parts of an answer that a peer keeps.
 
         Raises
         ------
         PeerUnavailable
-            When the peer is lost before the answer is whole.
+            If the connection fails before the answer is complete.
         """
         request = pb.JoinRequest(identity=identity)
         for chunk in self._stream("Join", address, request, _JOIN_IDLE_TIMEOUT):
@@ -136,12 +142,12 @@
             )
 
     def follow_config(self, address: str, since: int) -> Iterator[FeedUpdate]:
-        """Yield configuration changes that a peer knows.
+        """Yield the configuration changes of a peer.
 
         Raises
         ------
         PeerUnavailable
-            When the peer is lost or falls silent.
+            If the connection fails or the peer sends nothing for too long.
         """
         request = pb.FeedRequest(since=since)
         for reply in self._stream("Feed", address, request, _FEED_IDLE_TIMEOUT):
--- a/whinrack/peers/_codec.py
+++ b/whinrack/peers/_codec.py
@@ -1,4 +1,4 @@
-"""Between the typed structs of the subpackages and the peer messages."""
+"""Conversion between the structs of the subpackages and protobuf messages."""
 
 import msgspec
 
@@ -24,7 +24,7 @@
 ]
 
 _MEMBER_FIELDS = Member.__struct_fields__
-# What short grants state with their orders travels by `whinrack.gossip`, not here.
+# Fields that only short grants use are sent through `whinrack.gossip`, not through gRPC.
 _ORDER_FIELDS = tuple(
     name
     for name in DrawOrder.__struct_fields__
@@ -71,7 +71,7 @@
 
 
 def result_to_pb(result: DrawResult) -> pb.DrawReply:
-    """Encode a draw result; a free count below 0 shows as 0."""
+    """Encode a draw result; negative `free` and `outstanding` counts become 0."""
     fields = {name: getattr(result, name) for name in _RESULT_FIELDS}
     fields["free"] = max(0, result.free)
     fields["outstanding"] = max(0, result.outstanding)
--- a/whinrack/peers/_server.py
+++ b/whinrack/peers/_server.py
@@ -1,4 +1,4 @@
-"""The gRPC side that answers peers."""
+"""gRPC server that answers the calls of peers."""
 
 import hmac
 
@@ -21,7 +21,7 @@
 
 
 class _PeerService(PeerBase):
-    """Decodes each call, has the handlers answer it, and encodes the reply."""
+    """Decodes each call, passes it to the handlers, and encodes the reply."""
 
     def __init__(self, handlers: PeerHandlers):
         self.handlers = handlers
@@ -103,20 +103,20 @@
 
 
 class PeerServer:
-    """Listens for peers and refuses those without the fleet's key.
+    """Listens for peers and refuses calls without the fleet key.
 
     Parameters
     ----------
     handlers : PeerHandlers
-        Answers the calls.
+        Answer the calls.
     address : str
         ``host:port`` to listen on.
     fleet_key : str
-        What every peer has to show.
+        Must be in the metadata of every call.
     metrics : Metrics
         Counts refused calls.
     tls : ssl.SSLContext, optional
-        Demands certificates.
+        Requires client certificates.
     """
 
     def __init__(
@@ -130,7 +130,7 @@
         self._server: Server | None = None
 
     def start(self) -> None:
-        """Start to listen."""
+        """Start listening."""
         host, _, port = self.address.partition(":")
 
         async def start() -> None:
@@ -154,4 +154,4 @@
             return
         self.metrics.peer_refused.labels("fleet_key").inc()
         log_event(Event.PEER_REFUSED, call=event.method_name)
-        raise GRPCError(Status.UNAUTHENTICATED, "fleet key")
+        raise GRPCError(Status.UNAUTHENTICATED, "missing or wrong fleet key")
--- a/whinrack/peers/base.py
+++ b/whinrack/peers/base.py
@@ -1,4 +1,7 @@
-"""What a daemon answers to its peers; the server calls these in green threads."""
+"""Interface between the gRPC server and the daemon that answers its peers.
+
+Handlers that may block run in green threads; the others run on the event loop.
+"""
 
 from collections.abc import Iterator, Sequence
 from typing import NamedTuple
@@ -27,21 +30,35 @@
 
 
 class PeerReport(NamedTuple):
-    """A peer's word on itself, and the leaving instances that it knows of."""
+    """A peer's member record of itself, and the leaving instances that it knows of."""
 
     member: Member
     leaving_instances: list[str]
 
 
 class FeedUpdate(NamedTuple):
-    """Configuration changes up to a revision."""
+    """Configuration changes up to and including a revision."""
 
     revision: int
     objects: list[StoredObject]
 
 
 class ConsultQuery(msgspec.Struct, frozen=True, kw_only=True):
-    """The question whether the asker may run a request."""
+    """Asks whether an incarnation may run a request.
+
+    Attributes
+    ----------
+    identity : str
+        Name of the request's identity.
+    digest : bytes
+        Digest of the request's body.
+    asker : str
+        Incarnation that wants to run the request.
+    lost_owner : str
+        Owner of the request that could not be reached, "" if there is none.
+    home : str
+        Incarnation whose request memory is meant, "" for the receiver's own.
+    """
 
     identity: str
     digest: bytes
@@ -52,14 +69,14 @@
 
 
 class AnswerPart(msgspec.Struct, frozen=True, kw_only=True):
-    """A piece of an answer that a peer joins.
+    """A part of an answer that is sent to a peer.
 
     Attributes
     ----------
     status : int
-        HTTP status, on the first part only; else 0.
+        HTTP status on the first part, 0 on the others.
     is_final : bool
-        The last part of a whole answer.
+        Marks the last part of a complete answer.
     """
 
     status: int = 0
@@ -69,44 +86,50 @@
 
 
 class FeedSubscription:
-    """Wakes a peer's feed when the configuration here has changed."""
+    """Wakes the feed of a peer when this daemon's configuration has changed."""
 
     def wait(self, seconds: float) -> None:
-        """Return after a change, or after some seconds."""
+        """Wait for a change, at most the given seconds."""
         raise NotImplementedError
 
 
 class PeerHandlers:
-    """The calls that peers make."""
+    """Handlers of the calls that peers make."""
 
     config: ConfigStore
 
     def receive_heartbeat(self, sender: Member, leaving: Sequence[str]) -> PeerReport:
-        """Take in a peer's word and answer with one's own."""
+        """Record a peer's heartbeat and return this daemon's report on itself."""
         raise NotImplementedError
 
     def draw(self, order: DrawOrder) -> Result[DrawResult, WhinrackError]:
-        """Draw from the platform for a peer."""
+        """Draw tokens from the platform for a peer."""
         raise NotImplementedError
 
     def give_tokens(
         self, budget: str, receiver: str, already_received: int, need: int, wish: int
     ) -> int:
-        """Hand tokens to a peer; returns the cumulative total."""
+        """Give spare tokens to a peer.
+
+        Returns
+        -------
+        int
+            The total that the peer has been given, earlier transfers included.
+        """
         raise NotImplementedError
 
     def consult(self, query: ConsultQuery) -> ConsultReply:
-        """Tell whether a peer may run a request."""
+        """Decide whether a peer may run a request."""
         raise NotImplementedError
 
     def take_over_memory(self, home: str, entries: list[HandoverEntry]) -> None:
-        """Take over the memory of a home that stops as planned."""
+        """Take over request memory of a home that is in a planned stop."""
         raise NotImplementedError
 
     def join_answer(self, identity: str) -> Iterator[AnswerPart]:
-        """Yield the answer of a request that runs or ran here."""
+        """Yield the answer of a request that runs or ran at this instance."""
         raise NotImplementedError
 
     def subscribe(self) -> FeedSubscription:
-        """Follow the configuration in force here."""
+        """Return a subscription to changes of this daemon's configuration."""
         raise NotImplementedError
--- a/whinrack/peers/tests/test_codec.py
+++ b/whinrack/peers/tests/test_codec.py
@@ -1,10 +1,10 @@
-"""Orders and results survive the way to a peer and back."""
+"""Tests that draw orders and results survive encoding and decoding."""
 
 from whinrack.budgets import DrawOrder, DrawResult
 from whinrack.peers import _codec as codec
 
 
-def test_an_order_comes_as_it_was_sent():
+def test_an_order_round_trips():
     order = DrawOrder(
         account="a",
         budget="b",
@@ -22,6 +22,6 @@
     assert codec.order_from_pb(codec.order_to_pb(order)) == order
 
 
-def test_a_result_comes_as_it_was_sent():
+def test_a_result_round_trips():
     result = DrawResult(sequence=3, drawn=40, free=100, outstanding=60, closed=True)
     assert codec.result_from_pb(codec.result_to_pb(result)) == result
