--- a/whinrack/peers/__init__.py
+++ b/whinrack/peers/__init__.py
@@ -20,10 +20,10 @@
     "FeedUpdate",
     "PeerClient",
     "PeerHandlers",
-    "PeerServer",
     "PeerReport",
-    "run_in_green_thread",
+    "PeerServer",
     "client_context",
     "run_coroutine",
+    "run_in_green_thread",
     "server_context",
 ]
--- a/whinrack/peers/_bridge.py
+++ b/whinrack/peers/_bridge.py
@@ -12,7 +12,7 @@
 from eventlet.event import Event
 from eventlet.hubs import get_hub
 
-__all__ = ["run_in_green_thread", "run_coroutine", "spawn_coroutine"]
+__all__ = ["run_coroutine", "run_in_green_thread", "spawn_coroutine"]
 
 T = TypeVar("T")
 
--- a/whinrack/peers/_client.py
+++ b/whinrack/peers/_client.py
@@ -56,10 +56,12 @@
         self._channels: dict[str, grpclib.client.Channel] = {}
 
     def send_heartbeat(
-        self, address: str, sender: Member, leaving: Sequence[str]
+        self, address: str, sender: Member, leaving_instances: Sequence[str]
     ) -> Result[PeerReport, WhinrackError]:
         """Send a heartbeat and return the peer's report on itself."""
-        request = pb.HeartbeatRequest(sender=_codec.member_to_pb(sender), leaving_targets=leaving)
+        request = pb.HeartbeatRequest(
+            sender=_codec.member_to_pb(sender), leaving_targets=leaving_instances
+        )
         reply = self._call("Heartbeat", address, request, self.timeout)
         return reply.map(
             lambda message: PeerReport(
--- a/whinrack/peers/_codec.py
+++ b/whinrack/peers/_codec.py
@@ -9,6 +9,8 @@
 from whinrack.store import StoredObject
 
 __all__ = [
+    "consult_reply_from_pb",
+    "consult_reply_to_pb",
     "handover_entry_from_pb",
     "handover_entry_to_pb",
     "member_from_pb",
@@ -19,8 +21,6 @@
     "order_to_pb",
     "result_from_pb",
     "result_to_pb",
-    "consult_reply_from_pb",
-    "consult_reply_to_pb",
 ]
 
 _MEMBER_FIELDS = Member.__struct_fields__
@@ -100,12 +100,12 @@
 
 
 def consult_reply_to_pb(reply: ConsultReply) -> pb.ConsultReply:
-    """Encode a verdict."""
+    """Encode the reply to a consultation."""
     return pb.ConsultReply(consultation=_PB_DECISIONS[reply.decision], owner=reply.owner)
 
 
 def consult_reply_from_pb(message: pb.ConsultReply) -> ConsultReply:
-    """Decode a verdict."""
+    """Decode the reply to a consultation."""
     return ConsultReply(_DECISIONS[message.consultation], message.owner)
 
 
--- a/whinrack/peers/base.py
+++ b/whinrack/peers/base.py
@@ -98,7 +98,7 @@
 
     config: ConfigStore
 
-    def receive_heartbeat(self, sender: Member, leaving: Sequence[str]) -> PeerReport:
+    def receive_heartbeat(self, sender: Member, leaving_instances: Sequence[str]) -> PeerReport:
         """Record a peer's heartbeat and return this daemon's report on itself."""
         raise NotImplementedError
 
--- a/whinrack/server/_call.py
+++ b/whinrack/server/_call.py
@@ -39,7 +39,7 @@
 
     Parameters
     ----------
-    identity : Identity
+    identity : RequestIdentity
         Identity of the request.
     caller : Caller
         Workspace and budget that pay.
--- a/whinrack/server/_call_runner.py
+++ b/whinrack/server/_call_runner.py
@@ -166,7 +166,7 @@
     def _join_here(self, call: Call) -> HttpAnswer | None:
         """Join the running or finished answer at this instance; None if there is none."""
         while True:
-            entry = self.context.memory.find(call.identity.name)
+            entry = self.context.request_memory.find(call.identity.name)
             if entry is None or entry.state not in (*_UNFINISHED_STATES, RunState.FINISHED):
                 return None
             if entry.answer is not None and entry.answer.status:
@@ -237,9 +237,9 @@
         """
         given_up = True
         if call.has_claim:
-            given_up = not isinstance(self.context.claims.abandon(call.identity), Failure)
+            given_up = not isinstance(self.context.claim_store.abandon(call.identity), Failure)
         self._record_state(call, RunState.NOT_RUN if given_up else RunState.UNKNOWN)
 
     def _record_state(self, call: Call, state: RunState) -> None:
         if call.identity.has_caller_key:
-            self.context.memory.set_state(call.identity.name, state, steady(), call.answer)
+            self.context.request_memory.set_state(call.identity.name, state, steady(), call.answer)
--- a/whinrack/server/_config_follower.py
+++ b/whinrack/server/_config_follower.py
@@ -76,12 +76,14 @@
         return False
 
     def _should_watch(self) -> bool:
-        own = self.context.own_member()
-        return own.incarnation in self._watchers()
+        own_member = self.context.own_member()
+        return own_member.incarnation in self._watchers()
 
     def _watchers(self) -> list[str]:
         count = self.context.settings.membership.watchers_per_hall
-        return self.context.table.watcher_incarnations(self.context.own_member(), count, steady())
+        return self.context.membership_table.watcher_incarnations(
+            self.context.own_member(), count, steady()
+        )
 
     def _watch_platform(self) -> bool:
         if not self._has_snapshot and not self._load_snapshot():
@@ -119,7 +121,7 @@
         """
         config = self.context.config
         for watcher in self._watchers():
-            member = self.context.table.find(watcher)
+            member = self.context.membership_table.find(watcher)
             if member is None:
                 continue
             self._set_source(watcher)
@@ -136,7 +138,7 @@
 
     def _catch_up_from_peers(self) -> None:
         seeds = self.context.settings.peer.seeds.split()
-        for address in self.context.table.heartbeat_addresses(seeds):
+        for address in self.context.membership_table.heartbeat_addresses(seeds):
             if self.catch_up(address):
                 return
 
--- a/whinrack/server/_consultation.py
+++ b/whinrack/server/_consultation.py
@@ -12,7 +12,7 @@
 from whinrack.requests import ConsultDecision, ConsultReply, RequestIdentity
 from whinrack.server._context import ServerContext
 
-__all__ = ["UnresolvedRequest", "SuccessorReply", "PeerConsultation"]
+__all__ = ["PeerConsultation", "SuccessorReply", "UnresolvedRequest"]
 
 
 class UnresolvedRequest(msgspec.Struct, frozen=True):
@@ -61,14 +61,14 @@
             None if the successor can't be reached or did not take over the home's memory.
         """
         now = steady()
-        own = self.context.state.incarnation
-        candidates = [own, *self.context.table.handover_candidates(now)]
+        own_incarnation = self.context.state.incarnation
+        candidates = [own_incarnation, *self.context.membership_table.handover_candidates(now)]
         name = rendezvous(request.identity.name, candidates)[0]
-        if name == own:
-            if self.context.memory.is_responsible_for(home, now):
-                return SuccessorReply(None, ConsultReply(ConsultDecision.CEDED, own))
+        if name == own_incarnation:
+            if self.context.request_memory.is_responsible_for(home, now):
+                return SuccessorReply(None, ConsultReply(ConsultDecision.CEDED, own_incarnation))
             return None
-        member = self.context.table.find(name)
+        member = self.context.membership_table.find(name)
         reply = self.consult(member, request, "", home)
         if reply is None or reply.decision is ConsultDecision.NOT_HEIR:
             return None
--- a/whinrack/server/_context.py
+++ b/whinrack/server/_context.py
@@ -44,10 +44,10 @@
     settings: Settings
     state: DaemonState
     config: ConfigStore
-    table: MembershipTable
+    membership_table: MembershipTable
     budget_manager: BudgetManager
-    memory: RequestMemory
-    claims: ClaimStore
+    request_memory: RequestMemory
+    claim_store: ClaimStore
     bill_keeper: BillKeeper
     pool_directory: PoolDirectory
     target_client: TargetClient
--- a/whinrack/server/_daemon.py
+++ b/whinrack/server/_daemon.py
@@ -99,7 +99,7 @@
         )
         account_writer = AccountWriter(self.store, Semaphore)
         source = RegionTokenSource(self._own_member, table, peers, account_writer, metrics)
-        keeper = BudgetManager(
+        budget_manager = BudgetManager(
             incarnation,
             source,
             PeerTokenSource(self._own_member, table, peers),
@@ -115,12 +115,12 @@
             settings=settings,
             state=DaemonState(incarnation),
             config=config,
-            table=table,
-            budget_manager=keeper,
-            memory=RequestMemory(
+            membership_table=table,
+            budget_manager=budget_manager,
+            request_memory=RequestMemory(
                 incarnation, settings.requests.remember, settings.requests.entries
             ),
-            claims=ClaimStore(self.store, incarnation),
+            claim_store=ClaimStore(self.store, incarnation),
             bill_keeper=BillKeeper(writer, settings.journal.commit_interval),
             pool_directory=self.directory,
             target_client=TargetClient(),
@@ -227,17 +227,17 @@
         context, now = self.context, steady()
         home = context.state.incarnation
         entries_by_successor = {
-            successor: [] for successor in context.table.handover_candidates(now)
+            successor: [] for successor in context.membership_table.handover_candidates(now)
         }
-        for entry in context.memory.handover_entries():
+        for entry in context.request_memory.handover_entries():
             if entries_by_successor:
                 entries_by_successor[rendezvous(entry.identity, entries_by_successor)[0]].append(
                     entry
                 )
         for successor, entries in entries_by_successor.items():
-            address = context.table.find(successor).peer_address
+            address = context.membership_table.find(successor).peer_address
             context.peer_client.hand_over(address, home, entries)
-            for inherited_home in context.memory.taken_over_homes(now):
+            for inherited_home in context.request_memory.taken_over_homes(now):
                 context.peer_client.hand_over(address, inherited_home, ())
 
     def _flush_bills_and_tokens(self) -> bool:
--- a/whinrack/server/_operations.py
+++ b/whinrack/server/_operations.py
@@ -61,10 +61,10 @@
 
     def entry(self, request: HttpRequest) -> HttpAnswer:
         """Return the addresses to use; requires no key, as they are not secret."""
-        own = self.context.own_member()
+        own_member = self.context.own_member()
         busy = self.context.settings.http.busy_requests
-        members = self.context.table.entry_points(own, steady(), busy)
-        home = members[0] if members else own
+        members = self.context.membership_table.entry_points(own_member, steady(), busy)
+        home = members[0] if members else own_member
         reply = EntryReply(
             addresses=[member.http_address for member in members[:_MAX_ENTRY_ADDRESSES]],
             valid_seconds=self.context.settings.http.entry_seconds,
@@ -127,7 +127,7 @@
             leaving=context.state.is_leaving,
             newest=context.config.newest_version,
             requests_in_progress=context.state.in_progress,
-            members=sorted(member.name for member in context.table.live_members(now)),
+            members=sorted(member.name for member in context.membership_table.live_members(now)),
             watching=context.state.is_watching,
             leaving_targets=sorted(target.name for target in targets if target.is_leaving),
             ejected_targets=sorted(t.name for t in targets if t.ejection.is_ejected(now)),
@@ -139,9 +139,9 @@
         context, metrics = self.context, self.context.metrics
         ledgers = context.budget_manager.ledgers()
         metrics.revision.set(context.config.newest_version)
-        metrics.members.set(len(context.table.live_members(steady())))
+        metrics.members.set(len(context.membership_table.live_members(steady())))
         metrics.in_progress.set(context.state.in_progress)
         metrics.spendable.set(sum(ledger.spendable for ledger in ledgers))
         metrics.open_cover.set(sum(ledger.open_cover for ledger in ledgers))
         metrics.journal_pending.set(context.bill_keeper.writer.pending_count)
-        metrics.memory_entries.set(len(context.memory))
+        metrics.memory_entries.set(len(context.request_memory))
--- a/whinrack/server/_ownership.py
+++ b/whinrack/server/_ownership.py
@@ -125,7 +125,7 @@
 
     @property
     def _memory(self):
-        return self.context.memory
+        return self.context.request_memory
 
     @property
     def _own_incarnation(self) -> str:
@@ -154,8 +154,10 @@
                 return JoinHere(entry)
         if ticket is not None:
             return ticket.home
-        own = self.context.own_member()
-        return self.context.table.home_incarnation(own, request.identity.name, steady())
+        own_member = self.context.own_member()
+        return self.context.membership_table.home_incarnation(
+            own_member, request.identity.name, steady()
+        )
 
     def _ask_owners(self, request: UnresolvedRequest, home: str) -> RunHere | JoinPeer:
         """Ask the home, then the owner that it names."""
@@ -167,7 +169,7 @@
             if asked_incarnation in already_asked:
                 eventlet.sleep(_REPEAT_PAUSE_SECONDS)
             already_asked.add(asked_incarnation)
-            member = self.context.table.find(asked_incarnation)
+            member = self.context.membership_table.find(asked_incarnation)
             reply = self.consultation.consult(member, request, lost_owner)
             if reply is None:
                 if asked_incarnation != home and not lost_owner:
@@ -228,14 +230,14 @@
         return self._claim(request, decision)
 
     def _join_owner(self, owner: str) -> JoinPeer:
-        member = self.context.table.find(owner)
+        member = self.context.membership_table.find(owner)
         if member is None:
             raise OutcomeUnknown("another instance runs the request", retry_after=_RETRY_AFTER)
         return JoinPeer(member)
 
     def _claim(self, request: UnresolvedRequest, decision: RunHere) -> RunHere | JoinPeer:
         """Claim a request that must run at most once in the platform."""
-        result = self.context.claims.claim(request.identity, request.digest)
+        result = self.context.claim_store.claim(request.identity, request.digest)
         status = evaluate_claim(result, self._own_incarnation, request.digest)
         if isinstance(status, Failure):
             unreachable = isinstance(status.failure(), PlatformUnavailable | RateExceeded)
@@ -255,7 +257,7 @@
 
     def _join_holder(self, request: UnresolvedRequest, holder: str) -> RunHere | JoinPeer:
         """Join the answer of the claim's holder, the only one that may run the request."""
-        member = self.context.table.find(holder)
+        member = self.context.membership_table.find(holder)
         reply = self.consultation.consult(member, request, "")
         if reply is not None and reply.decision is ConsultDecision.HERE:
             self._record_owner(request, holder)
--- a/whinrack/server/_peer_handlers.py
+++ b/whinrack/server/_peer_handlers.py
@@ -51,7 +51,7 @@
     ----------
     context : ServerContext
         Components of the daemon.
-    account_writer : AccountDrawer
+    account_writer : AccountWriter
         Draws tokens for peers.
     signal : ChangeSignal
         Signals configuration changes.
@@ -72,18 +72,18 @@
         self.on_leaving = on_leaving
         self.config = context.config
 
-    def receive_heartbeat(self, sender: Member, leaving: Sequence[str]) -> PeerReport:
+    def receive_heartbeat(self, sender: Member, leaving_instances: Sequence[str]) -> PeerReport:
         """Record a peer's heartbeat and return this daemon's report on itself."""
-        self.record_report(sender, leaving)
-        known = self.context.table.leaving_instances(steady())
+        self.record_report(sender, leaving_instances)
+        known = self.context.membership_table.leaving_instances(steady())
         return PeerReport(self.context.own_member(), sorted(known))
 
-    def record_report(self, member: Member, leaving: Sequence[str]) -> None:
+    def record_report(self, member: Member, leaving_instances: Sequence[str]) -> None:
         """Record the report in a heartbeat or in the reply to one."""
         now = steady()
-        if self.context.table.record_heartbeat(member, now):
+        if self.context.membership_table.record_heartbeat(member, now):
             log_event(Event.MEMBER_JOINED, member=member.incarnation)
-        if self.context.table.add_leaving_instances(leaving, now):
+        if self.context.membership_table.add_leaving_instances(leaving_instances, now):
             self.on_leaving()
 
     def draw(self, order: DrawOrder) -> Result[DrawResult, PlatformFailure]:
@@ -107,9 +107,9 @@
 
     def consult(self, query: ConsultQuery) -> ConsultReply:
         """Decide whether a peer may run a request."""
-        if not self.context.memory.is_responsible_for(query.home, steady()):
+        if not self.context.request_memory.is_responsible_for(query.home, steady()):
             return ConsultReply(ConsultDecision.NOT_HEIR)
-        return self.context.memory.consult(
+        return self.context.request_memory.consult(
             query.identity,
             query.digest,
             query.asker,
@@ -120,7 +120,7 @@
 
     def take_over_memory(self, home: str, entries: list[HandoverEntry]) -> None:
         """Take over request memory of a home that is in a planned stop."""
-        self.context.memory.take_over(home, entries, steady())
+        self.context.request_memory.take_over(home, entries, steady())
 
     def join_answer(self, identity: str) -> Iterator[AnswerPart]:
         """Yield the answer of a request that runs or ran at this instance.
@@ -132,7 +132,7 @@
         """
         end = steady() + _MAX_JOIN_SECONDS
         while steady() < end:
-            entry = self.context.memory.find(identity)
+            entry = self.context.request_memory.find(identity)
             if entry is None or entry.state in (RunState.NOT_RUN, RunState.CEDED):
                 raise PeerUnavailable("this instance has no answer of the request")
             if entry.answer is not None and entry.answer.status:
--- a/whinrack/server/_settlement.py
+++ b/whinrack/server/_settlement.py
@@ -23,7 +23,7 @@
         Components of the daemon.
     caller : Caller
         Workspace and budget that pay.
-    identity : Identity
+    identity : RequestIdentity
         Identity of the billed request.
     token_bound : int
         The proven upper bound on the request's tokens.
--- a/whinrack/server/_tasks.py
+++ b/whinrack/server/_tasks.py
@@ -56,7 +56,7 @@
         self._is_platform_up = True
         self._round = 0
         self._beats_behind = 0
-        self._alive_names: set[str] = set()
+        self._live_names: set[str] = set()
         self._closed_budgets: set[str] = set()
 
     def start(self) -> None:
@@ -82,11 +82,11 @@
         to_all_peers : bool
             Send to peers that were heard from recently as well, because there is news for them.
         """
-        own = self.context.own_member()
-        leaving = sorted(self.context.table.leaving_instances(steady()))
+        own_member = self.context.own_member()
+        leaving = sorted(self.context.membership_table.leaving_instances(steady()))
         pool = eventlet.GreenPool(_HEARTBEAT_FANOUT)
         for address in self._heartbeat_addresses(to_all_peers):
-            pool.spawn_n(self._send_heartbeat, address, own, leaving)
+            pool.spawn_n(self._send_heartbeat, address, own_member, leaving)
         pool.waitall()
         self._log_lost_members()
         self._fetch_newer_config()
@@ -98,7 +98,7 @@
             self._is_platform_up = not self._is_platform_up
             log_event(Event.PLATFORM_BACK if self._is_platform_up else Event.PLATFORM_LOST)
         if isinstance(result, Success):
-            self.context.table.update_from_list(result.unwrap(), steady())
+            self.context.membership_table.update_from_list(result.unwrap(), steady())
             self.update_leaving()
 
     def report_tokens(self) -> None:
@@ -112,7 +112,7 @@
     def update_leaving(self) -> None:
         """Tell the pools which instances are leaving."""
         self.context.pool_directory.set_leaving_instances(
-            self.context.table.leaving_instances(steady())
+            self.context.membership_table.leaving_instances(steady())
         )
 
     def read_loads(self) -> None:
@@ -143,12 +143,12 @@
         seeds = settings.peer.seeds.split()
         addresses = [
             address
-            for address in self.context.table.heartbeat_addresses(seeds)
+            for address in self.context.membership_table.heartbeat_addresses(seeds)
             if address != settings.peer.address
         ]
         if not to_all_peers:
             recent = steady() - _RECENT_INTERVAL_SHARE * settings.membership.heartbeat_interval
-            heard = self.context.table.addresses_heard_since(recent)
+            heard = self.context.membership_table.addresses_heard_since(recent)
             addresses = [address for address in addresses if address not in heard]
         if len(addresses) <= settings.membership.full_mesh_limit:
             return addresses
@@ -156,8 +156,8 @@
         start = self._round * _HEARTBEAT_FANOUT % len(addresses)
         return (addresses + addresses)[start : start + _HEARTBEAT_FANOUT]
 
-    def _send_heartbeat(self, address: str, own, leaving: list[str]) -> None:
-        reply = self.context.peer_client.send_heartbeat(address, own, leaving)
+    def _send_heartbeat(self, address: str, own_member, leaving_instances: list[str]) -> None:
+        reply = self.context.peer_client.send_heartbeat(address, own_member, leaving_instances)
         if isinstance(reply, Failure):
             return
         report = reply.unwrap()
@@ -165,15 +165,15 @@
 
     def _log_lost_members(self) -> None:
         now = steady()
-        alive = {member.name for member in self.context.table.live_members(now)}
-        for name in self._alive_names - alive:
+        live_names = {member.name for member in self.context.membership_table.live_members(now)}
+        for name in self._live_names - live_names:
             log_event(Event.MEMBER_LOST, member=name)
-        self._alive_names = alive
-        self.context.table.remove_silent(now, _FORGET_AFTER)
+        self._live_names = live_names
+        self.context.membership_table.remove_silent(now, _FORGET_AFTER)
 
     def _fetch_newer_config(self) -> None:
         """Fetch the configuration of a peer that has had a newer one for some heartbeats."""
-        members = self.context.table.live_members(steady())
+        members = self.context.membership_table.live_members(steady())
         newest = max(members, key=lambda member: member.revision, default=None)
         if newest is None or newest.revision <= self.context.config.newest_version:
             self._beats_behind = 0
--- a/whinrack/server/_token_sources.py
+++ b/whinrack/server/_token_sources.py
@@ -38,22 +38,22 @@
     def __init__(
         self,
         own_member,
-        table: MembershipTable,
+        membership_table: MembershipTable,
         peer_client: PeerClient,
         account_writer: AccountWriter,
         metrics: Metrics,
     ):
         self.own_member = own_member
-        self.table = table
+        self.membership_table = membership_table
         self.peer_client = peer_client
         self.account_writer = account_writer
         self.metrics = metrics
 
     def draw(self, order: DrawOrder) -> Result[DrawResult, WhinrackError]:
         """Apply a draw order and return the resulting state of the books."""
-        own = self.own_member()
-        chosen = self.table.drawing_incarnation(own, order.account, steady())
-        member = None if chosen == own.incarnation else self.table.find(chosen)
+        own_member = self.own_member()
+        chosen = self.membership_table.drawing_incarnation(own_member, order.account, steady())
+        member = None if chosen == own_member.incarnation else self.membership_table.find(chosen)
         if member is not None:
             result = self.peer_client.draw(member.peer_address, order)
             self._count_draw("peer", result)
@@ -77,25 +77,25 @@
         Returns the member record of this daemon.
     """
 
-    def __init__(self, own_member, table: MembershipTable, peer_client: PeerClient):
+    def __init__(self, own_member, membership_table: MembershipTable, peer_client: PeerClient):
         self.own_member = own_member
-        self.table = table
+        self.membership_table = membership_table
         self.peer_client = peer_client
 
     def request_from_peers(
         self, budget: str, need: int, wish: int, received: dict[str, int]
     ) -> Iterable[TransferTotal]:
         """Ask peers for tokens and yield the cumulative total that each has given."""
-        own = self.own_member()
-        members = self.table.live_members(steady())
-        members.sort(key=lambda member: (member.region != own.region, member.name))
+        own_member = self.own_member()
+        members = self.membership_table.live_members(steady())
+        members.sort(key=lambda member: (member.region != own_member.region, member.name))
         pool = eventlet.GreenPool(_MAX_PEERS_ASKED)
         missing = need
 
         def ask(member: Member) -> TransferTotal:
             known = received.get(member.incarnation, 0)
             reply = self.peer_client.request_tokens(
-                member.peer_address, budget, own.incarnation, known, max(0, missing), wish
+                member.peer_address, budget, own_member.incarnation, known, max(0, missing), wish
             )
             return TransferTotal(member.incarnation, reply.value_or(known))
 
--- a/whinrack/server/tests/test_ownership.py
+++ b/whinrack/server/tests/test_ownership.py
@@ -71,9 +71,9 @@
 
     def _context(self, name, names):
         return SimpleNamespace(
-            memory=self.memories[name],
+            request_memory=self.memories[name],
             state=SimpleNamespace(incarnation=name),
-            table=FixedTable(names),
+            membership_table=FixedTable(names),
             peer_client=SimpleNamespace(consult=self.consult),
             metrics=Metrics(),
             own_member=lambda: Member(incarnation=name, name=name),
