--- a/whinrack/ejection/_policies.py
+++ b/whinrack/ejection/_policies.py
@@ -68,7 +68,7 @@
             self._eject(now)
 
     def record_unreachable(self, now: float) -> None:
-        """Eject the target at once: each further attempt would cost its caller a timeout."""
+        """Eject the target at once: each further attempt would delay its caller."""
         self._consecutive_failures = max(self._consecutive_failures + 1, self.failure_threshold)
         if not self.is_ejected(now):
             self._eject(now)
--- a/whinrack/peers/_client.py
+++ b/whinrack/peers/_client.py
@@ -177,6 +177,7 @@
         return Success(reply)
 
     def _stream(self, call: str, address: str, request, idle_timeout: float):
+        """Yield the messages of a streaming call."""
         queue: LightQueue = LightQueue()
         task = spawn_coroutine(self._receive_messages(call, address, request, idle_timeout, queue))
         try:
--- a/whinrack/peers/_server.py
+++ b/whinrack/peers/_server.py
@@ -149,6 +149,7 @@
         run_coroutine(stop())
 
     async def _check_key(self, event: RecvRequest) -> None:
+        """Refuse a call whose metadata lack the fleet key."""
         shown = str(event.metadata.get(FLEET_KEY_HEADER, ""))
         if hmac.compare_digest(shown.encode(), self.fleet_key.encode()):
             return
--- a/whinrack/routing/_program.py
+++ b/whinrack/routing/_program.py
@@ -146,12 +146,14 @@
 
 
 def _to_cel_facts(request: RequestFacts) -> dict[str, object]:
+    """Return a request's facts as a map, with its class under the name that programs use."""
     facts = msgspec.to_builtins(request)
     facts["class"] = facts.pop("request_class")
     return facts
 
 
 def _parse_decision(value, request: RequestFacts, serving: tuple[str, ...]) -> RouteDecision:
+    """Validate the value of a program and convert it to a decision."""
     if not isinstance(value, dict):
         raise PolicyFailure(f"the result: allowed is a map, got {type(value).__name__}")
     unknown = set(value) - _DECISION_FIELDS
--- a/whinrack/routing/_queue.py
+++ b/whinrack/routing/_queue.py
@@ -137,6 +137,7 @@
         return (self._rank(request, now), request.deadline, request.sequence)
 
     def _rank(self, request: QueuedRequest, now: float) -> int:
+        """Return the rank of a request; deferrable ones near their deadline are raised."""
         rank = _class_rank(request)
         urgent = request.deadline - now < _URGENT_SERVICE_TIMES * self.service_time
         if rank == _RANK[RequestClass.DEFERRABLE] and urgent:
--- a/whinrack/server/_admission.py
+++ b/whinrack/server/_admission.py
@@ -159,6 +159,7 @@
             self.wake_first(pool)
 
     def _wait_in_queue(self, pool: PoolState, query: PickQuery, deadline: float, now: float):
+        """Queue a request and wait for a slot; refuse it if the queue does not take it."""
         semaphore = Semaphore(0)
         queued = QueuedRequest(query.request_class, deadline, semaphore.release)
         joined = pool.queue.enqueue(queued, pool.slots(now), now)
@@ -171,6 +172,7 @@
             self.metrics.queue_wait.labels(str(query.request_class)).observe(steady() - now)
 
     def _wait_for_slot(self, pool, query, queued, semaphore) -> Result[Slot, Refusal]:
+        """Wait until a slot is free, the wait ends or a more urgent request takes the place."""
         while True:
             now = steady()
             seconds_left = queued.deadline - now
@@ -194,6 +196,7 @@
                 return Success(Slot(self, pool, target))
 
     def _must_queue(self, pool: PoolState, query: PickQuery, now: float) -> bool:
+        """Return whether a request of the same or a more urgent class waits already."""
         first = pool.queue.peek(now)
         if first is None:
             return False
--- a/whinrack/server/_app.py
+++ b/whinrack/server/_app.py
@@ -80,6 +80,7 @@
             return error_answer(InternalFailure("internal error in whinrack"), request_id)
 
     def _answer_operation(self, request: HttpRequest) -> HttpAnswer | None:
+        """Answer a request for an operational endpoint; None if it is not one."""
         if request.method != "GET":
             return None
         match request.path:
--- a/whinrack/server/_call_runner.py
+++ b/whinrack/server/_call_runner.py
@@ -178,6 +178,7 @@
         return joined_answer(entry.answer.read())
 
     def _join_peer(self, call: Call, decision: JoinPeer) -> HttpAnswer | None:
+        """Join the answer at a peer; None if the peer was lost before the answer began."""
         parts = self.context.peer_client.join_answer(
             decision.member.peer_address, call.identity.name
         )
@@ -218,6 +219,7 @@
             self._release_claim(call)
 
     def _end_with_refusal(self, call: Call, refusal: Refusal) -> None:
+        """End a call that was refused or has failed."""
         refusal.attempts = call.attempts
         if call.slot is not None:
             call.slot.release()
--- a/whinrack/server/_chat.py
+++ b/whinrack/server/_chat.py
@@ -185,6 +185,7 @@
         ]
 
     def _process_reply(self, call: ChatCall, reply: Result) -> Result[HttpAnswer, Refusal]:
+        """Turn an engine's reply into an answer to the caller, or into a refusal."""
         if isinstance(reply, Failure):
             return reply
         response = reply.unwrap()
@@ -344,6 +345,7 @@
         log_event(event, target=call.slot.target.name, request=call.identity.request_id)
 
     def _end_abandoned_answer(self, call: ChatCall, response) -> None:
+        """End an answer whose caller has disconnected."""
         response.close()
         self._cancel_and_settle(call)
         self.finish(call, is_complete=False)
--- a/whinrack/server/_daemon.py
+++ b/whinrack/server/_daemon.py
@@ -217,6 +217,7 @@
         return 0
 
     def _must_keep_serving(self, seconds: float) -> bool:
+        """Return whether callers may still use this address or have requests in progress."""
         stop = self.settings.stop
         if seconds < stop.linger:
             return True
@@ -241,6 +242,13 @@
                 context.peer_client.hand_over(address, inherited_home, ())
 
     def _flush_bills_and_tokens(self) -> bool:
+        """Commit all bills and return all tokens.
+
+        Returns
+        -------
+        bool
+            False if that was not finished in time.
+        """
         end = steady() + _MAX_DRAIN_SECONDS
         while steady() < end:
             is_committed = self.context.bill_keeper.flush()
--- a/whinrack/server/_ownership.py
+++ b/whinrack/server/_ownership.py
@@ -43,7 +43,7 @@
 
 _RETRY_AFTER = 2.0
 _MAX_ROUNDS = 6
-# Seconds before an owner is asked again that may not have recorded its ownership yet.
+# Seconds before an incarnation is asked again, so that it can record what was ceded to it.
 _REPEAT_PAUSE_SECONDS = 0.02
 
 
@@ -242,7 +242,7 @@
         if isinstance(status, Failure):
             unreachable = isinstance(status.failure(), PlatformUnavailable | RateExceeded)
             if request.has_ticket and unreachable:
-                # The ticket's home has ceded the request; a claim would only confirm that.
+                # The ticket's home has granted the request; a claim would only confirm that.
                 return decision
             raise ClaimUnavailable(
                 "the platform can't be asked whether the request was run before",
--- a/whinrack/server/_services.py
+++ b/whinrack/server/_services.py
@@ -100,6 +100,7 @@
                 raise refusal
 
     def _process_reply(self, call: Call, reply: Result) -> Result[HttpAnswer, Refusal]:
+        """Turn a target's reply into an answer to the caller, or into a refusal."""
         if isinstance(reply, Failure):
             return reply
         response = reply.unwrap()
--- a/whinrack/server/_tasks.py
+++ b/whinrack/server/_tasks.py
@@ -183,6 +183,8 @@
             self.follower.catch_up(newest.peer_address)
 
     def _run_periodically(self, seconds: float, function: Callable[[], object]) -> None:
+        """Start a green thread that calls a function forever, and logs its failures."""
+
         def loop() -> None:
             while True:
                 try:
