--- a/whinrack/peers/__init__.py
+++ b/whinrack/peers/__init__.py
@@ -1,6 +1,6 @@
-"""Calls between the daemons."""
+"""gRPC calls between the daemons: client, server and TLS."""
 
-from whinrack.peers._bridge import call_green, run_coroutine
+from whinrack.peers._bridge import run_coroutine, run_in_green_thread
 from whinrack.peers._client import PeerClient
 from whinrack.peers._server import PeerServer
 from whinrack.peers._tls import client_context, server_context
@@ -10,7 +10,7 @@
     FeedSubscription,
     FeedUpdate,
     PeerHandlers,
-    PeerWord,
+    PeerReport,
 )
 
 __all__ = [
@@ -20,10 +20,10 @@
     "FeedUpdate",
     "PeerClient",
     "PeerHandlers",
+    "PeerReport",
     "PeerServer",
-    "PeerWord",
-    "call_green",
     "client_context",
     "run_coroutine",
+    "run_in_green_thread",
     "server_context",
 ]
--- a/whinrack/peers/_bridge.py
+++ b/whinrack/peers/_bridge.py
@@ -1,6 +1,6 @@
-"""Where green threads and coroutines meet, on one event loop.
+"""Bridge between eventlet green threads and asyncio coroutines on one event loop.
 
-eventlet's asyncio hub runs both. Everything that knows of both worlds is here, so that
+eventlet's asyncio hub runs both. All code that depends on both is in this module, so that
 the rest could move off eventlet, whose maintainers advise against new use.
 """
 
@@ -12,7 +12,7 @@
 from eventlet.event import Event
 from eventlet.hubs import get_hub
 
-__all__ = ["call_green", "run_coroutine", "spawn_coroutine"]
+__all__ = ["run_coroutine", "run_in_green_thread", "spawn_coroutine"]
 
 T = TypeVar("T")
 
@@ -38,8 +38,8 @@
     return get_hub().loop.create_task(coroutine)
 
 
-async def call_green(function: Callable[..., T], *args: object) -> T:
-    """Run a blocking function in a green thread of its own and await its result."""
+async def run_in_green_thread(function: Callable[..., T], *args: object) -> T:
+    """Run a blocking function in a new green thread and await its result."""
     future = asyncio.get_running_loop().create_future()
 
     def run() -> None:
--- a/whinrack/routing/_queue.py
+++ b/whinrack/routing/_queue.py
@@ -1,4 +1,4 @@
-"""A pool's bounded queue, by class and deadline."""
+"""Bounded queue of a pool, ordered by request class and deadline."""
 
 from collections.abc import Callable
 
@@ -11,123 +11,139 @@
 __all__ = ["PoolQueue", "QueuedRequest"]
 
 _RANK = {RequestClass.ALERT: 0, RequestClass.INTERACTIVE: 1, RequestClass.DEFERRABLE: 2}
-_FIRST_SERVICE_TIME = 0.5
-_LEAST_RETRY_AFTER = 1.0
-_WEIGHT = 0.1
+_INITIAL_SERVICE_TIME = 0.5
+_MIN_RETRY_AFTER = 1.0
+_SERVICE_TIME_WEIGHT = 0.1
 _URGENT_SERVICE_TIMES = 4.0
 
 
 class QueuedRequest(msgspec.Struct, eq=False):
-    """A request in the queue.
+    """A request that waits in the queue of a pool.
 
     Attributes
     ----------
     deadline : float
-        Clock time by which it must be started.
+        Clock time by which the request must be started.
     wake : callable
-        Called once, when a slot may be free or `refusal` is set.
+        Called when a slot may be free or `refusal` is set.
+    refusal : Refusal or None
+        Set when the request was removed in favour of a more urgent one.
+    sequence : int
+        Order of arrival; breaks ties.
     """
 
     request_class: RequestClass
     deadline: float
     wake: Callable[[], None]
     refusal: Refusal | None = None
-    number: int = 0
+    sequence: int = 0
 
 
 class PoolQueue:
-    """Who waits for a pool, in what order. Decisions only, no I/O.
+    """Priority queue of the requests that wait for a pool. Performs no I/O.
 
-    Alerts go first, then interactive requests, then deferrable ones; a deferrable
+    Alerts go first, then interactive requests, then deferrable ones. A deferrable
     request whose deadline is near ranks as interactive, so that it still finishes.
     Within a rank the earliest deadline goes first.
 
     Parameters
     ----------
     limit : int
-        Most waiting requests.
+        Maximum number of waiting requests.
     """
 
     def __init__(self, limit: int):
         self.limit = limit
-        self.service_time = _FIRST_SERVICE_TIME
-        self._waiters: list[QueuedRequest] = []
-        self._count = 0
+        self.service_time = _INITIAL_SERVICE_TIME
+        self._requests: list[QueuedRequest] = []
+        self._last_sequence = 0
 
     def __len__(self) -> int:
-        return len(self._waiters)
+        return len(self._requests)
 
     def enqueue(
-        self, waiter: QueuedRequest, slots: int, now: float
+        self, request: QueuedRequest, slots: int, now: float
     ) -> Result[QueuedRequest, Refusal]:
-        """Queue a request, or refuse it at once if it can't be met.
+        """Queue a request, or refuse it at once if it can't be started in time.
 
         Parameters
         ----------
         slots : int
             Requests that the pool's targets can run at once.
+
+        Returns
+        -------
+        Result
+            The request, or the refusal if it would miss its deadline or the queue is full.
         """
-        ahead = sum(1 for other in self._waiters if self._rank(other, now) <= _class_rank(waiter))
+        ahead = sum(1 for other in self._requests if self._rank(other, now) <= _class_rank(request))
         expected = self.expected_wait(ahead, slots)
-        if now + expected > waiter.deadline:
+        if now + expected > request.deadline:
             return Failure(
                 DeadlineUnreachable(
                     f"{ahead} requests are ahead, about {expected:.1f} s of waiting",
-                    retry_after=max(_LEAST_RETRY_AFTER, expected),
+                    retry_after=max(_MIN_RETRY_AFTER, expected),
                 )
             )
-        if len(self._waiters) >= self.limit and not self._make_room(waiter, slots, now):
+        if len(self._requests) >= self.limit and not self._displace_last(request, slots, now):
             return Failure(
                 QueueFull(
-                    f"{len(self._waiters)} requests are waiting",
-                    retry_after=max(_LEAST_RETRY_AFTER, self.expected_wait(ahead, slots)),
+                    f"{len(self._requests)} requests are waiting",
+                    retry_after=max(_MIN_RETRY_AFTER, self.expected_wait(ahead, slots)),
                 )
             )
-        self._count += 1
-        waiter.number = self._count
-        self._waiters.append(waiter)
-        return Success(waiter)
+        self._last_sequence += 1
+        request.sequence = self._last_sequence
+        self._requests.append(request)
+        return Success(request)
 
-    def remove(self, waiter: QueuedRequest) -> None:
-        """Take a request out of the queue; does nothing if it isn't in it."""
-        if waiter in self._waiters:
-            self._waiters.remove(waiter)
+    def remove(self, request: QueuedRequest) -> None:
+        """Remove a request from the queue if it is there."""
+        if request in self._requests:
+            self._requests.remove(request)
 
     def peek(self, now: float) -> QueuedRequest | None:
-        """Return who is served next."""
-        return min(self._waiters, key=lambda waiter: self._order(waiter, now), default=None)
+        """Return the request to be served next; None if the queue is empty."""
+        return min(self._requests, key=lambda request: self._sort_key(request, now), default=None)
 
-    def record_service(self, seconds: float) -> None:
-        """Learn how long a request takes a slot."""
-        self.service_time += _WEIGHT * (seconds - self.service_time)
+    def record_service_time(self, seconds: float) -> None:
+        """Update the moving average of the seconds for which a request occupies a slot."""
+        self.service_time += _SERVICE_TIME_WEIGHT * (seconds - self.service_time)
 
     def expected_wait(self, ahead: int, slots: int) -> float:
-        """Estimate the seconds until a request with `ahead` before it is started."""
+        """Estimate the seconds until a request with `ahead` others before it is started."""
         return (ahead + 1) * self.service_time / max(1, slots)
 
-    def _make_room(self, newcomer: QueuedRequest, slots: int, now: float) -> bool:
-        """Refuse the last deferrable request in favour of a more urgent one."""
-        last = max(self._waiters, key=lambda waiter: self._order(waiter, now))
-        if self._rank(last, now) <= _class_rank(newcomer):
+    def _displace_last(self, new_request: QueuedRequest, slots: int, now: float) -> bool:
+        """Remove and refuse the last request if the new one is more urgent.
+
+        Returns
+        -------
+        bool
+            Whether a request was removed.
+        """
+        last = max(self._requests, key=lambda request: self._sort_key(request, now))
+        if self._rank(last, now) <= _class_rank(new_request):
             return False
-        self._waiters.remove(last)
-        wait = self.expected_wait(len(self._waiters), slots)
+        self._requests.remove(last)
+        wait = self.expected_wait(len(self._requests), slots)
         last.refusal = QueueFull(
-            "gave way to more urgent work", retry_after=max(_LEAST_RETRY_AFTER, wait)
+            "gave way to more urgent work", retry_after=max(_MIN_RETRY_AFTER, wait)
         )
         last.wake()
         return True
 
-    def _order(self, waiter: QueuedRequest, now: float) -> tuple:
-        return (self._rank(waiter, now), waiter.deadline, waiter.number)
+    def _sort_key(self, request: QueuedRequest, now: float) -> tuple:
+        return (self._rank(request, now), request.deadline, request.sequence)
 
-    def _rank(self, waiter: QueuedRequest, now: float) -> int:
-        rank = _class_rank(waiter)
-        urgent = waiter.deadline - now < _URGENT_SERVICE_TIMES * self.service_time
+    def _rank(self, request: QueuedRequest, now: float) -> int:
+        """Return the rank of a request; deferrable ones near their deadline are raised."""
+        rank = _class_rank(request)
+        urgent = request.deadline - now < _URGENT_SERVICE_TIMES * self.service_time
         if rank == _RANK[RequestClass.DEFERRABLE] and urgent:
             return _RANK[RequestClass.INTERACTIVE]
         return rank
 
 
-def _class_rank(waiter: QueuedRequest) -> int:
-    return _RANK[waiter.request_class]
+def _class_rank(request: QueuedRequest) -> int:
+    return _RANK[request.request_class]
--- a/whinrack/server/_answers.py
+++ b/whinrack/server/_answers.py
@@ -1,4 +1,4 @@
-"""Answers that are kept while and after they run, so that a retry can join them."""
+"""Answers that are kept during and after their run, so that retries can join them."""
 
 from collections import OrderedDict
 from collections.abc import Iterator
@@ -9,19 +9,19 @@
 from whinrack.exceptions import AnswerNotKept, PeerUnavailable
 from whinrack.peers import AnswerPart
 
-__all__ = ["AnswerShelf", "RunningAnswer"]
+__all__ = ["AnswerCache", "SharedAnswer"]
 
-_SILENCE = 300.0
+_IDLE_TIMEOUT = 300.0
 
 
-class RunningAnswer:
-    """One answer, filled by whoever runs the request, read by any number of retries.
+class SharedAnswer:
+    """One answer, written by the call that runs the request and read by its retries.
 
     Parameters
     ----------
     limit : int
-        Bytes that are kept; a longer answer can't be joined from its start. 0 for an
-        answer that nobody can ask for again.
+        Maximum size of the kept body in bytes. The body of a longer answer is discarded,
+        and retries can't join it. 0 for a request without a key, which has no retries.
     """
 
     def __init__(self, limit: int):
@@ -29,10 +29,10 @@
         self.status = 0
         self.headers: tuple[tuple[str, str], ...] = ()
         self.size = 0
-        self.finished = False
-        self.whole = False
-        self.kept = True
-        self.readers = 0
+        self.is_finished = False
+        self.is_complete = False
+        self.is_kept = True
+        self.reader_count = 0
         self._chunks: list[bytes] = []
         self._changed = Event()
 
@@ -43,51 +43,57 @@
         self._notify()
 
     def append(self, data: bytes) -> None:
-        """Add a piece of the body; does nothing once the body was forgotten."""
-        if not self.kept:
+        """Add a part of the body; does nothing after the body was discarded."""
+        if not self.is_kept:
             return
         self.size += len(data)
         if self.size > self.limit:
-            self.drop()
+            self.discard_body()
             return
         self._chunks.append(data)
-        if self.readers:
+        if self.reader_count:
             self._notify()
 
-    def finish(self, whole: bool) -> None:
-        """End the answer."""
-        self.finished = True
-        self.whole = whole
+    def finish(self, is_complete: bool) -> None:
+        """Mark the end of the answer.
+
+        Parameters
+        ----------
+        is_complete : bool
+            False if the answer was cut.
+        """
+        self.is_finished = True
+        self.is_complete = is_complete
         self._notify()
 
-    def drop(self) -> None:
-        """Forget the body."""
-        self.kept = False
+    def discard_body(self) -> None:
+        """Discard the body, and all further parts of it."""
+        self.is_kept = False
         self._chunks.clear()
         self._notify()
 
     def read(self) -> Iterator[AnswerPart]:
-        """Yield the answer from its start, waiting for more until its end.
+        """Yield the answer from its start, and wait for more until its end.
 
         Raises
         ------
         AnswerNotKept
-            If the body was forgotten.
+            If the body was discarded.
         PeerUnavailable
-            If the answer ends without being whole.
+            If the answer ends before it is complete, or stalls.
         """
-        self.readers += 1
+        self.reader_count += 1
         try:
             yield from self._read()
         finally:
-            self.readers -= 1
+            self.reader_count -= 1
 
     def _read(self) -> Iterator[AnswerPart]:
         position = 0
         started = False
         while True:
-            if not self.kept:
-                raise AnswerNotKept("the request ran; its answer is too long or too old to keep")
+            if not self.is_kept:
+                raise AnswerNotKept("the request ran; its answer is too long or too old to be kept")
             if self.status and not started:
                 started = True
                 yield AnswerPart(status=self.status, headers=self.headers)
@@ -95,16 +101,16 @@
             position += len(fresh)
             if fresh:
                 yield AnswerPart(body=b"".join(fresh))
-            elif self.finished:
+            elif self.is_finished:
                 break
             else:
                 self._wait()
-        if not self.whole:
-            raise PeerUnavailable("the answer was cut")
-        yield AnswerPart(whole=True)
+        if not self.is_complete:
+            raise PeerUnavailable("the answer ended before it was complete")
+        yield AnswerPart(is_final=True)
 
     def _wait(self) -> None:
-        with Timeout(_SILENCE, PeerUnavailable("the answer fell silent")):
+        with Timeout(_IDLE_TIMEOUT, PeerUnavailable("the answer stalled")):
             self._changed.wait()
 
     def _notify(self) -> None:
@@ -112,25 +118,25 @@
         event.send(None)
 
 
-class AnswerShelf:
-    """Bounds the memory of all kept answers together; the oldest go first.
+class AnswerCache:
+    """Bounds the total size of the finished answers by discarding the oldest.
 
     Parameters
     ----------
     limit : int
-        Bytes in all.
+        Maximum total size in bytes.
     """
 
     def __init__(self, limit: int):
         self.limit = limit
-        self._finished: OrderedDict[int, RunningAnswer] = OrderedDict()
+        self._finished: OrderedDict[int, SharedAnswer] = OrderedDict()
         self._size = 0
 
-    def add(self, answer: RunningAnswer) -> None:
-        """Count a finished answer, and drop older ones beyond the limit."""
+    def add(self, answer: SharedAnswer) -> None:
+        """Add a finished answer, and discard the oldest ones beyond the limit."""
         self._finished[id(answer)] = answer
         self._size += answer.size
         while self._size > self.limit and self._finished:
             _, oldest = self._finished.popitem(last=False)
             self._size -= oldest.size
-            oldest.drop()
+            oldest.discard_body()
--- a/whinrack/server/_app.py
+++ b/whinrack/server/_app.py
@@ -1,4 +1,4 @@
-"""The WSGI application: from path to endpoint, and every failure to an answer."""
+"""The WSGI application: dispatches paths to endpoints and turns failures into answers."""
 
 from collections.abc import Callable, Iterator
 
@@ -27,12 +27,12 @@
 
 
 class Application:
-    """Answers callers.
+    """WSGI application that answers callers.
 
     Parameters
     ----------
     context : ServerContext
-        The daemon's parts.
+        Components of the daemon.
     """
 
     def __init__(self, context: ServerContext):
@@ -43,7 +43,7 @@
         self._services = ServiceEndpoint(context)
 
     def __call__(self, environ: dict, start_response: Callable) -> "CountedBody":
-        """Serve one request of the WSGI runner."""
+        """Serve one WSGI request."""
         http = self.context.settings.http
         request = HttpRequest(environ, http.body_limit, http.body_timeout)
         self.context.state.in_progress += 1
@@ -58,10 +58,10 @@
     def _answer(self, request: HttpRequest) -> HttpAnswer:
         identity = None
         try:
-            operation = self._operation(request)
+            operation = self._answer_operation(request)
             if operation is not None:
                 return operation
-            if self.context.state.closed:
+            if self.context.state.is_closed:
                 raise TargetUnavailable("this instance has stopped", retry_after=1.0)
             endpoint = self._endpoint(request)
             caller = self._authenticator.identify(request)
@@ -77,9 +77,10 @@
             log_event(Event.REQUEST_FAILED, error=type(error).__name__)
             self.context.metrics.refusals.labels("internal").inc()
             request_id = identity.request_id if identity else new_request_id()
-            return error_answer(InternalFailure("whinrack failed"), request_id)
+            return error_answer(InternalFailure("internal error in whinrack"), request_id)
 
-    def _operation(self, request: HttpRequest) -> HttpAnswer | None:
+    def _answer_operation(self, request: HttpRequest) -> HttpAnswer | None:
+        """Answer a request for an operational endpoint; None if it is not one."""
         if request.method != "GET":
             return None
         match request.path:
@@ -103,27 +104,27 @@
             return self._services
         if request.path == "/v1/chat/completions":
             if request.method != "POST":
-                raise BadRequest("allowed is POST")
+                raise BadRequest("the method: allowed is POST")
             return self._chat
-        raise NoSuchPath("no such path")
+        raise NoSuchPath("no endpoint has this path")
 
 
 class CountedBody:
-    """A body that is counted as in progress until the server closes it."""
+    """An answer body; its request counts as in progress until the server closes it."""
 
     def __init__(self, context: ServerContext, answer: HttpAnswer):
         self.context = context
         self.answer = answer
-        self._open = True
+        self._is_open = True
 
     def __iter__(self) -> Iterator[bytes]:
         return iter(self.answer.body)
 
     def close(self) -> None:
-        """Close the answer's body; the server calls this in every case."""
-        if not self._open:
+        """Close the answer's body; the WSGI server always calls this."""
+        if not self._is_open:
             return
-        self._open = False
+        self._is_open = False
         self.context.state.in_progress -= 1
         close = getattr(self.answer.body, "close", None)
         if close is not None:
--- a/whinrack/server/_call.py
+++ b/whinrack/server/_call.py
@@ -1,4 +1,4 @@
-"""One request on its way through a router, whatever its protocol."""
+"""State of one request while a router handles it, common to all protocols."""
 
 from whinrack.clock import steady
 from whinrack.exceptions import BadRequest
@@ -6,7 +6,7 @@
 from whinrack.requests import RequestIdentity, Ticket, body_digest, decode_ticket
 from whinrack.routing import RouteDecision
 from whinrack.server._admission import Slot
-from whinrack.server._answers import RunningAnswer
+from whinrack.server._answers import SharedAnswer
 from whinrack.server._auth import Caller
 from whinrack.server._http import CLASS_HEADER, TICKET_HEADER, HttpRequest
 
@@ -14,7 +14,7 @@
 
 
 def request_class_of(request: HttpRequest, caller: Caller) -> RequestClass:
-    """Return the class that a caller asks for, or its workspace's."""
+    """Return the request class from the header, or the workspace's default."""
     text = request.header(CLASS_HEADER).lower()
     if not text:
         return caller.workspace.default_class
@@ -28,35 +28,35 @@
 
 
 def deadline_of(request: HttpRequest, pool: TargetPool) -> float:
-    """Return the clock time by which a request must have ended."""
-    seconds = request.deadline()
+    """Return the clock time by which a request must end."""
+    seconds = request.read_deadline()
     limit = pool.request_timeout
-    return request.arrived + (limit if seconds is None else min(seconds, limit))
+    return request.arrived_at + (limit if seconds is None else min(seconds, limit))
 
 
 class Call:
-    """One request on its way, whatever its protocol.
+    """State of one request while it is handled.
 
     Parameters
     ----------
-    identity : Identity
-        Who it is.
+    identity : RequestIdentity
+        Identity of the request.
     caller : Caller
-        Who pays.
+        Workspace and budget that pay.
     decision : RouteDecision
-        Where it may go.
+        The result of the routing program.
     body : bytes
-        What is sent to the target.
+        Body that is sent to the target.
     digest_parts : tuple of bytes
-        What must be the same each time a key is used.
+        Parts of the request that must be the same each time an idempotency key is used.
     deadline : float
-        Clock time by which it must have ended.
-    repeatable : bool
-        Whether it may run again after a try that may have run.
+        Clock time by which the request must end.
+    is_repeatable : bool
+        Whether the request may run again after an attempt that may have run.
     affinity_key : str
-        For the pickers.
+        Key for the choice of a target.
     request : HttpRequest
-        As it came.
+        The caller's request.
     """
 
     def __init__(
@@ -67,7 +67,7 @@
         body: bytes,
         digest_parts: tuple[bytes, ...],
         deadline: float,
-        repeatable: bool,
+        is_repeatable: bool,
         affinity_key: str,
         request: HttpRequest,
     ):
@@ -77,23 +77,23 @@
         self.body = body
         self.digest = body_digest(*digest_parts)
         self.deadline = deadline
-        self.repeatable = repeatable
+        self.is_repeatable = is_repeatable
         self.affinity_key = affinity_key
         self.request = request
-        # Learnt at run time.
+        # State at run time.
         self.attempts = 0
-        self.avoid: tuple[str, ...] = ()
+        self.avoided_targets: tuple[str, ...] = ()
         self.slot: Slot | None = None
-        self.answer: RunningAnswer | None = None
-        self.claimed = False
+        self.answer: SharedAnswer | None = None
+        self.has_claim = False
         self.provisional_against = ""
-        self.ended = False
+        self.has_ended = False
 
     @property
     def ticket(self) -> Ticket | None:
-        """The ticket that the caller sent."""
+        """The ticket that the caller sent, if any."""
         return decode_ticket(self.request.header(TICKET_HEADER))
 
     def time_left(self) -> float:
-        """Return the seconds until the deadline, never quite nothing."""
+        """Return the seconds until the deadline, at least 0.001."""
         return max(0.001, self.deadline - steady())
--- a/whinrack/server/_consultation.py
+++ b/whinrack/server/_consultation.py
@@ -1,4 +1,4 @@
-"""Asks peers whether a request may run here, and who owns it."""
+"""Consultation of peers: whether a request may run here, and which incarnation owns it."""
 
 from typing import NamedTuple
 
@@ -12,79 +12,87 @@
 from whinrack.requests import ConsultDecision, ConsultReply, RequestIdentity
 from whinrack.server._context import ServerContext
 
-__all__ = ["AskedRequest", "HeirReply", "PeerConsultant"]
+__all__ = ["PeerConsultation", "SuccessorReply", "UnresolvedRequest"]
 
 
-class AskedRequest(msgspec.Struct, frozen=True):
-    """What is known about a request that is to be placed.
+class UnresolvedRequest(msgspec.Struct, frozen=True):
+    """A request whose owner is to be found, and what is known about it.
 
     Attributes
     ----------
+    has_ticket : bool
+        Whether the caller sent a ticket, which names the request's home.
     known_owner : str
         Another incarnation that is remembered as the owner, "" if there is none.
     """
 
     identity: RequestIdentity
     digest: bytes
-    repeatable: bool
-    ticketed: bool
+    is_repeatable: bool
+    has_ticket: bool
     known_owner: str = ""
 
 
-class HeirReply(NamedTuple):
-    """What the heir of a home says; `member` is None where this incarnation is the heir."""
+class SuccessorReply(NamedTuple):
+    """Reply of a home's successor; `member` is None if that is this incarnation."""
 
     member: Member | None
-    verdict: ConsultReply
+    reply: ConsultReply
 
 
-class PeerConsultant:
-    """Puts the question to one peer at a time.
+class PeerConsultation:
+    """Consults peers about the ownership of requests, one peer per call.
 
     Parameters
     ----------
     context : ServerContext
-        The daemon's parts.
+        Components of the daemon.
     """
 
     def __init__(self, context: ServerContext):
         self.context = context
 
-    def ask_heir(self, asked: AskedRequest, home: str) -> HeirReply | None:
-        """Ask who inherited the memory of a home that may have stopped as planned."""
+    def consult_successor(self, request: UnresolvedRequest, home: str) -> SuccessorReply | None:
+        """Consult the successor of a home that may have stopped as planned.
+
+        Returns
+        -------
+        SuccessorReply or None
+            None if the successor can't be reached or did not take over the home's memory.
+        """
         now = steady()
-        own = self.context.state.incarnation
-        heirs = [own, *self.context.table.handover_candidates(now)]
-        name = rendezvous(asked.identity.name, heirs)[0]
-        if name == own:
-            if self.context.memory.is_responsible_for(home, now):
-                return HeirReply(None, ConsultReply(ConsultDecision.CEDED, own))
+        own_incarnation = self.context.state.incarnation
+        candidates = [own_incarnation, *self.context.membership_table.handover_candidates(now)]
+        name = rendezvous(request.identity.name, candidates)[0]
+        if name == own_incarnation:
+            if self.context.request_memory.is_responsible_for(home, now):
+                return SuccessorReply(None, ConsultReply(ConsultDecision.CEDED, own_incarnation))
             return None
-        member = self.context.table.find(name)
-        reply = self.ask(member, asked, "", home)
+        member = self.context.membership_table.find(name)
+        reply = self.consult(member, request, "", home)
         if reply is None or reply.decision is ConsultDecision.NOT_HEIR:
             return None
-        return HeirReply(member, reply)
+        return SuccessorReply(member, reply)
 
-    def ask(
-        self, member: Member | None, asked: AskedRequest, lost: str, home: str = ""
+    def consult(
+        self, member: Member | None, request: UnresolvedRequest, lost_owner: str, home: str = ""
     ) -> ConsultReply | None:
-        """Ask one peer; None if it can't be reached."""
+        """Consult one peer; None if it is unknown or can't be reached."""
         if member is None:
             self.context.metrics.consultations.labels("unreachable").inc()
             return None
         query = ConsultQuery(
-            identity=asked.identity.name,
-            digest=asked.digest,
+            identity=request.identity.name,
+            digest=request.digest,
             asker=self.context.state.incarnation,
-            lost_owner=lost,
-            repeatable=asked.repeatable,
+            lost_owner=lost_owner,
+            repeatable=request.is_repeatable,
             home=home,
         )
-        reply = self.context.peers.consult(member.peer_address, query)
+        reply = self.context.peer_client.consult(member.peer_address, query)
         if isinstance(reply, Failure):
             self.context.metrics.consultations.labels("unreachable").inc()
             return None
-        verdict = reply.unwrap()
-        self.context.metrics.consultations.labels(str(verdict.decision)).inc()
-        return verdict
+        answer = reply.unwrap()
+        self.context.metrics.consultations.labels(str(answer.decision)).inc()
+        return answer
--- a/whinrack/server/_context.py
+++ b/whinrack/server/_context.py
@@ -1,4 +1,4 @@
-"""What the endpoints of one daemon share."""
+"""State and components that the endpoints of one daemon share."""
 
 import msgspec
 
@@ -10,7 +10,7 @@
 from whinrack.peers import PeerClient
 from whinrack.requests import ClaimStore, RequestMemory
 from whinrack.server._admission import PoolDirectory
-from whinrack.server._answers import AnswerShelf
+from whinrack.server._answers import AnswerCache
 from whinrack.server._bills import BillKeeper
 from whinrack.settings import Settings
 
@@ -18,45 +18,45 @@
 
 
 class DaemonState(msgspec.Struct):
-    """What changes as the daemon lives.
+    """Mutable state of a daemon.
 
     Attributes
     ----------
-    leaving : bool
+    is_leaving : bool
         A planned stop has begun.
-    closed : bool
-        The planned stop is over but for giving things back: nothing is begun any more.
+    is_closed : bool
+        New requests are refused; a planned stop only has to flush bills and return tokens.
     in_progress : int
-        Requests of callers that are not answered yet.
+        Requests of callers whose answers have not ended.
     """
 
     incarnation: str
-    leaving: bool = False
-    closed: bool = False
-    ready: bool = False
-    watching: bool = False
+    is_leaving: bool = False
+    is_closed: bool = False
+    is_ready: bool = False
+    is_watching: bool = False
     in_progress: int = 0
 
 
 class ServerContext(msgspec.Struct, frozen=True, kw_only=True):
-    """The parts of a daemon."""
+    """The components of a daemon."""
 
     settings: Settings
     state: DaemonState
     config: ConfigStore
-    table: MembershipTable
-    keeper: BudgetManager
-    memory: RequestMemory
-    claims: ClaimStore
-    bills: BillKeeper
-    directory: PoolDirectory
-    targets: TargetClient
-    peers: PeerClient
-    shelf: AnswerShelf
+    membership_table: MembershipTable
+    budget_manager: BudgetManager
+    request_memory: RequestMemory
+    claim_store: ClaimStore
+    bill_keeper: BillKeeper
+    pool_directory: PoolDirectory
+    target_client: TargetClient
+    peer_client: PeerClient
+    answer_cache: AnswerCache
     metrics: Metrics
 
     def own_member(self) -> Member:
-        """Return this daemon's word on itself."""
+        """Return this daemon's member record."""
         settings = self.settings
         return Member(
             incarnation=self.state.incarnation,
@@ -65,8 +65,8 @@
             data_hall=settings.instance.data_hall,
             http_address=settings.http.address,
             peer_address=settings.peer.address,
-            leaving=self.state.leaving,
+            leaving=self.state.is_leaving,
             revision=self.config.newest_version,
             requests_in_progress=self.state.in_progress,
-            watching=self.state.watching,
+            watching=self.state.is_watching,
         )
--- a/whinrack/server/_policies.py
+++ b/whinrack/server/_policies.py
@@ -1,4 +1,4 @@
-"""Evaluates the routing programs in force, or falls to the documented default."""
+"""Evaluation of the declared routing programs, with fallback to the documented default."""
 
 from returns.result import Failure
 
@@ -17,19 +17,19 @@
 
 __all__ = ["PolicyEvaluator"]
 
-_MOST_PROGRAMS = 1000
-_LONGEST_ERROR = 200
+_MAX_CACHED_PROGRAMS = 1000
+_MAX_ERROR_LENGTH = 200
 
 
 class PolicyEvaluator:
-    """Decides where requests may go.
+    """Decides by routing programs where requests may go.
 
     Parameters
     ----------
     config : ConfigStore
-        Holds the programs.
+        Holds the declared routing policies.
     metrics : Metrics
-        Counts programs that failed.
+        Counts failed evaluations.
     """
 
     def __init__(self, config: ConfigStore, metrics: Metrics):
@@ -40,14 +40,14 @@
     def decide(
         self, name: str, facts: RequestFacts, serving: dict[str, PoolState]
     ) -> RouteDecision:
-        """Evaluate a policy's program for one request.
+        """Evaluate a policy's program for one request; the default if it fails.
 
         Parameters
         ----------
         name : str
-            The RoutingPolicy object; "" for the default.
+            Name of the RoutingPolicy object, "" for the default.
         serving : dict of str to PoolState
-            The pools that serve what is asked for.
+            The pools that can serve the request, by name.
         """
         policy = self.config.get(RoutingPolicy, name) if name else None
         default = default_decision(facts, tuple(serving))
@@ -55,24 +55,24 @@
             return default
         now = steady()
         try:
-            program = self._program(policy.program)
+            program = self._compile(policy.program)
         except PolicyFailure as error:
-            return self._failed(name, error, default)
+            return self._fall_back(name, error, default)
         pools = {key: pool.facts(now) for key, pool in serving.items()}
         decided = program.decide(facts, pools)
         if isinstance(decided, Failure):
-            return self._failed(name, decided.failure(), default)
+            return self._fall_back(name, decided.failure(), default)
         return decided.unwrap()
 
-    def _program(self, source: str) -> RoutingProgram:
+    def _compile(self, source: str) -> RoutingProgram:
         program = self._programs.get(source)
         if program is None:
-            if len(self._programs) >= _MOST_PROGRAMS:
+            if len(self._programs) >= _MAX_CACHED_PROGRAMS:
                 self._programs.clear()
             program = self._programs[source] = RoutingProgram(source)
         return program
 
-    def _failed(self, name: str, error: PolicyFailure, default: RouteDecision) -> RouteDecision:
+    def _fall_back(self, name: str, error: PolicyFailure, default: RouteDecision) -> RouteDecision:
         self.metrics.policy_failures.labels(name).inc()
-        log_event(Event.POLICY_FAILED, policy=name, error=error.message[:_LONGEST_ERROR])
+        log_event(Event.POLICY_FAILED, policy=name, error=error.message[:_MAX_ERROR_LENGTH])
         return default
--- a/whinrack/server/_settlement.py
+++ b/whinrack/server/_settlement.py
@@ -1,4 +1,4 @@
-"""The cover and the bill of one chat request."""
+"""Budget cover and bill of one chat request."""
 
 from returns.result import Failure
 
@@ -15,18 +15,18 @@
 
 
 class Settlement:
-    """Covers a request in full before it is sent, and settles it on what was used.
+    """Covers a request in full before it is sent, and bills the tokens that it used.
 
     Parameters
     ----------
     context : ServerContext
-        The daemon's parts.
+        Components of the daemon.
     caller : Caller
-        Who pays.
-    identity : Identity
-        What the bill is for.
-    bound : int
-        The proved bound on the request's tokens.
+        Workspace and budget that pay.
+    identity : RequestIdentity
+        Identity of the billed request.
+    token_bound : int
+        The proven upper bound on the request's tokens.
     provisional_against : str
         A lost incarnation that may have billed the request too, "" if there is none.
     """
@@ -36,29 +36,29 @@
         context: ServerContext,
         caller: Caller,
         identity: RequestIdentity,
-        bound: int,
+        token_bound: int,
         provisional_against: str,
     ):
         self.context = context
         self.caller = caller
         self.identity = identity
-        self.bound = bound
+        self.token_bound = token_bound
         self.provisional_against = provisional_against
         self._cover: Cover | None = None
         self._mark = 0
 
     def open(self) -> None:
-        """Set the bound aside.
+        """Reserve tokens up to the bound.
 
         Raises
         ------
         BudgetExhausted, BudgetContended
         """
         caller = self.caller
-        cover = self.context.keeper.cover(
+        cover = self.context.budget_manager.cover(
             caller.budget.account,
             caller.budget_name,
-            self.bound,
+            self.token_bound,
             caller.workspace.weighting,
         )
         if isinstance(cover, Failure):
@@ -66,19 +66,19 @@
         self._cover = cover.unwrap()
 
     def reopen(self) -> None:
-        """Cover a further attempt, if the last one's cover was written off."""
+        """Reserve cover for another attempt if the last one's was written off."""
         if self._cover is None:
             self.open()
 
     def settle(self, usage: Usage | None, events: int) -> None:
-        """Bill what was used; what the engine can't prove unused stays out of use.
+        """Bill the tokens used; tokens that the engine can't prove unused are not returned.
 
         Parameters
         ----------
         usage : Usage or None
-            The engine's count.
+            The engine's token counts, None if it did not report them.
         events : int
-            Content events that were seen, each at least one token.
+            Content events that were received, each of at least one token.
         """
         cover = self._cover
         if cover is None or cover.is_settled:
@@ -91,7 +91,7 @@
             if usage.total_tokens > cover.tokens:
                 log_event(Event.COVER_EXCEEDED, budget=self.caller.budget_name)
         cover.settle(billed, unproven)
-        self._count(billed, unproven)
+        self._count_tokens(billed, unproven)
         record = BillRecord(
             identity=self.identity.name,
             workspace=self.caller.workspace_name,
@@ -99,34 +99,36 @@
             tokens=billed,
             provisional_against=self.provisional_against,
         )
-        self._mark = self.context.bills.add(record)
+        self._mark = self.context.bill_keeper.add(record)
 
     def write_off(self, usage: Usage | None) -> None:
-        """Take the tokens of a try that may have run out of use, without a bill."""
+        """Withdraw the tokens of an attempt that may have run, without billing them."""
         cover = self._cover
         if cover is None or cover.is_settled:
             return
         lost = cover.tokens if usage is None else min(usage.total_tokens, cover.tokens)
         cover.settle(0, lost)
-        self._count(0, lost)
+        self._count_tokens(0, lost)
         self._cover = None
 
-    def abandon(self) -> None:
-        """Give the whole cover back: nothing was sent."""
+    def release(self) -> None:
+        """Return the whole cover, as nothing was used."""
         if self._cover is not None:
             self._cover.settle(0)
 
-    def wait_kept(self) -> None:
-        """Wait until the bill is kept, as long as the settings say."""
+    def wait_committed(self) -> None:
+        """Wait until the bill is committed, at most as long as the settings allow."""
         if not self._mark:
             return
         started = steady()
-        kept = self.context.bills.wait_kept(self._mark, self.context.settings.journal.answer_wait)
-        self.context.metrics.bills.labels("kept" if kept else "unconfirmed").inc()
-        if not kept:
+        is_committed = self.context.bill_keeper.wait_committed(
+            self._mark, self.context.settings.journal.answer_wait
+        )
+        self.context.metrics.bills.labels("kept" if is_committed else "unconfirmed").inc()
+        if not is_committed:
             waited = steady() - started
             log_event(Event.BILL_UNCONFIRMED, waited=f"{waited:.2f}")
 
-    def _count(self, billed: int, unproven: int) -> None:
+    def _count_tokens(self, billed: int, unproven: int) -> None:
         self.context.metrics.tokens.labels("billed").inc(billed)
         self.context.metrics.tokens.labels("unproven").inc(unproven)
