--- a/whinrack/dispatch/_abandoned_runs.py
+++ b/whinrack/dispatch/_abandoned_runs.py
@@ -9,45 +9,45 @@
 
 from whinrack.clock import steady
 from whinrack.dispatch._events import event_blocks
-from whinrack.dispatch._request_run import Run
+from whinrack.dispatch._request_run import RequestRun
 from whinrack.dispatch._statements import TargetStatement
 from whinrack.dispatch._values import PoolRecord
 from whinrack.dispatch.base import Dialect
 from whinrack.exceptions import AnswerCut, AttemptTimeout
 from whinrack.http1 import TargetConnection
 
-__all__ = ["settle_by_last_words"]
+__all__ = ["settle_abandoned_run"]
 
 # A target has to have noticed that its caller left within half a second.
-_LAST_WORDS_SECONDS = 0.3
+_END_WAIT_SECONDS = 0.3
 
 
-def settle_by_last_words(
-    run: Run,
+def settle_abandoned_run(
+    run: RequestRun,
     pool: PoolRecord,
     connection: TargetConnection,
     dialect: Dialect,
-    hear: Callable[[TargetStatement], None],
-    answered: bool,
+    on_statement: Callable[[TargetStatement], None],
+    has_head: bool,
 ) -> None:
     """Bill a run whose caller left, if its target ends it; else leave it unsettled.
 
     Parameters
     ----------
-    hear : callable
+    on_statement : callable
         Told what the target states, if the head of its answer comes now.
-    answered : bool
+    has_head : bool
         The head of the answer has been read.
     """
     connection.finish_sending()
-    end = steady() + _LAST_WORDS_SECONDS
+    end = steady() + _END_WAIT_SECONDS
     try:
-        if not answered:
+        if not has_head:
             head = connection.read_head(
                 end, lambda headers: dialect.is_response_to(run.request, headers)
             )
             statement = dialect.parse_statement(head)
-            hear(statement)
+            on_statement(statement)
             if statement.did_not_run:
                 run.may_have_run = run.attempts > 1
                 return
@@ -58,4 +58,4 @@
             return
     except AttemptTimeout:
         return
-    run.settle_ended(pool)
+    run.settle_partial(pool)
--- a/whinrack/dispatch/_answer_times.py
+++ b/whinrack/dispatch/_answer_times.py
@@ -18,15 +18,15 @@
     """How long the targets of each pool take until an answer begins, as seen from here."""
 
     def __init__(self):
-        self._usual: dict[str, float] = {}
+        self._averages: dict[str, float] = {}
 
     def observe(self, pool: str, seconds: float) -> None:
         """Learn how long an answer took to begin."""
-        usual = self._usual.get(pool, seconds)
-        self._usual[pool] = usual + _WEIGHT * (seconds - usual)
+        usual = self._averages.get(pool, seconds)
+        self._averages[pool] = usual + _WEIGHT * (seconds - usual)
 
-    def suspicious_after(self, pool: PoolRecord) -> float:
+    def silence_timeout(self, pool: PoolRecord) -> float:
         """Return the seconds of silence after which a target is suspected."""
         least, most = _SERVICE_BOUNDS if pool.engine is None else _ENGINE_BOUNDS
-        usual = self._usual.get(pool.name)
+        usual = self._averages.get(pool.name)
         return most if usual is None else min(most, max(least, _FACTOR * usual))
--- a/whinrack/dispatch/_answers.py
+++ b/whinrack/dispatch/_answers.py
@@ -5,7 +5,7 @@
 from whinrack.clock import steady
 from whinrack.dispatch._events import event_blocks
 from whinrack.dispatch._pacing import StreamPacing
-from whinrack.dispatch._request_run import Run
+from whinrack.dispatch._request_run import RequestRun
 from whinrack.dispatch._run_log import log_run
 from whinrack.dispatch._values import PoolRecord
 from whinrack.exceptions import AnswerCut
@@ -29,7 +29,9 @@
         self.metrics = metrics
         self.pacing = pacing
 
-    def pass_whole(self, run: Run, pool: PoolRecord, head: ResponseHead, body: bytes) -> None:
+    def relay_complete(
+        self, run: RequestRun, pool: PoolRecord, head: ResponseHead, body: bytes
+    ) -> None:
         """Pass on an answer all of which is here.
 
         Raises
@@ -39,12 +41,12 @@
         """
         if run.exchange.started:
             raise AnswerCut(f"the target answered {head.status} in the middle of a stream")
-        run.settle_whole(pool)
+        run.settle_complete(pool)
         run.exchange.respond(head.status, _answer_headers(head), body)
-        self._note_answered(run, head)
+        self._record_answered(run, head)
 
-    def pass_stream(
-        self, run: Run, pool: PoolRecord, head: ResponseHead, pieces: Iterable[bytes]
+    def relay_stream(
+        self, run: RequestRun, pool: PoolRecord, head: ResponseHead, pieces: Iterable[bytes]
     ) -> None:
         """Pass events on as they come; the head goes out with the first one.
 
@@ -54,24 +56,24 @@
             As the pieces do.
         """
         exchange = run.exchange
-        for block in event_blocks(self.pacing.space(pieces), run.last_id):
+        for block in event_blocks(self.pacing.paced(pieces), run.last_id):
             if not exchange.started:
                 exchange.start(head.status, _answer_headers(head))
-                self._observe_first(run)
+                self._record_first_event(run)
             exchange.write(block.data)
-            run.note_passed_on(block.count, block.last_id)
+            run.record_relayed(block.count, block.last_id)
         if not exchange.started:
             exchange.start(head.status, _answer_headers(head))
-        run.settle_whole(pool)
+        run.settle_complete(pool)
         exchange.finish()
-        self._note_answered(run, head)
+        self._record_answered(run, head)
 
-    def _observe_first(self, run: Run) -> None:
+    def _record_first_event(self, run: RequestRun) -> None:
         seconds = steady() - run.exchange.arrived
         self.metrics.first_byte.labels(str(run.route.kind)).observe(seconds)
 
-    def _note_answered(self, run: Run, head: ResponseHead) -> None:
-        log_run(Event.REQUEST_ANSWERED, run, status=head.status, billed=run.billed)
+    def _record_answered(self, run: RequestRun, head: ResponseHead) -> None:
+        log_run(Event.REQUEST_ANSWERED, run, status=head.status, billed=run.billed_tokens)
         self.metrics.requests.labels(str(run.route.kind), str(head.status)).inc()
 
 
--- a/whinrack/dispatch/_backoffs.py
+++ b/whinrack/dispatch/_backoffs.py
@@ -26,7 +26,7 @@
         until = now + min(seconds, LONGEST_BACKOFF_SECONDS)
         self._until[target] = max(until, self._until.get(target, until))
 
-    def left(self, target: str, now: float) -> float:
+    def seconds_left(self, target: str, now: float) -> float:
         """Return the seconds until a target may be sent requests again, 0 if it may be now."""
         return max(0.0, self._until.get(target, now) - now)
 
--- a/whinrack/dispatch/_cold_state.py
+++ b/whinrack/dispatch/_cold_state.py
@@ -15,7 +15,7 @@
 _LAPSE_SECONDS = 4.0
 # A word that says warm may have been written before what was seen here, by its heartbeat, the
 # store and the watch; seconds.
-_WORD_LAG_SECONDS = 2.0
+_RECORD_LAG_SECONDS = 2.0
 
 
 class ColdReason(StrEnum):
@@ -43,7 +43,7 @@
         self._started_at = -math.inf
         self._unreachable_at = -math.inf
 
-    def told(self, seconds_left: float | None, now: float) -> None:
+    def update(self, seconds_left: float | None, now: float) -> None:
         """Take in a new word of the target; what it says counts from when it came.
 
         Parameters
@@ -54,23 +54,23 @@
         if seconds_left is None:
             self._started_at = now
             self.reason = ColdReason.NO_WORD
-        elif seconds_left > 0.0 or now - self._doubted_at > _WORD_LAG_SECONDS:
+        elif seconds_left > 0.0 or now - self._last_doubt_at > _RECORD_LAG_SECONDS:
             self._cold_until = now + seconds_left
             self._started_at = self._unreachable_at = -math.inf
             self.reason = ColdReason.WORD
 
-    def unreachable(self, now: float) -> None:
+    def record_unreachable(self, now: float) -> None:
         """Learn that no connection could be made: it may have ended, and start again."""
         self._unreachable_at = now
         self.reason = ColdReason.UNREACHABLE
 
-    def answered(self, now: float) -> None:
+    def record_answer(self, now: float) -> None:
         """Learn that it answers; if it was unreachable it may have started just now."""
         if self._unreachable_at > -math.inf:
             self._unreachable_at = -math.inf
             self._started_at = now
 
-    def hall_back(self, now: float) -> None:
+    def record_hall_back(self, now: float) -> None:
         """Learn that its data hall is in use again: it may have turned cold shortly before."""
         self._started_at = now
         self.reason = ColdReason.HALL_BACK
@@ -81,5 +81,5 @@
         return max(self._cold_until, self._started_at + cold_seconds, by_failure)
 
     @property
-    def _doubted_at(self) -> float:
+    def _last_doubt_at(self) -> float:
         return max(self._started_at, self._unreachable_at)
--- a/whinrack/dispatch/_configuration.py
+++ b/whinrack/dispatch/_configuration.py
@@ -73,7 +73,7 @@
             end -= 1
         raise NoRoute("no route has this host and path")
 
-    def identify(self, route: Route, key: str) -> WorkspaceRecord | None:
+    def authenticate(self, route: Route, key: str) -> WorkspaceRecord | None:
         """Return the workspace that a key belongs to, None on public routes.
 
         Raises
--- a/whinrack/dispatch/_target_ends.py
+++ b/whinrack/dispatch/_crash_detector.py
@@ -12,17 +12,17 @@
 from whinrack.observability import Event, log_event
 from whinrack.quarantine import RequestSignature, RunGuard, TargetEnd
 
-__all__ = ["Presence", "TargetEnds", "probe_address"]
+__all__ = ["Presence", "CrashDetector", "probe_address"]
 
 # From a cut until the target's address is tried: a process that ends closes all its sockets within
 # a few milliseconds, and none has come back in less than a second.
-_PROBE_AFTER_SECONDS = 0.05
+_PROBE_DELAY_SECONDS = 0.05
 # Patience with that one connection.
-_PROBE_SECONDS = 0.3
+_PROBE_TIMEOUT_SECONDS = 0.3
 # A target whose address told nothing is looked after for so long, so often: its record lapses after
 # three heartbeats of 1.2 s, and a new start writes one of its own.
-_DOUBT_SECONDS = 6.0
-_DOUBT_PAUSE_SECONDS = 0.25
+_RECHECK_SECONDS = 6.0
+_RECHECK_INTERVAL_SECONDS = 0.25
 
 
 class Presence(StrEnum):
@@ -33,7 +33,7 @@
     UNKNOWN = "unknown"
 
 
-def probe_address(address: tuple[str, int], seconds: float = _PROBE_SECONDS) -> Presence:
+def probe_address(address: tuple[str, int], seconds: float = _PROBE_TIMEOUT_SECONDS) -> Presence:
     """Open a connection to an address and close it again."""
     sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     sock.settimeout(seconds)
@@ -48,7 +48,7 @@
     return Presence.HERE
 
 
-class TargetEnds:
+class CrashDetector:
     """Tells the quarantine of targets that ended by themselves while they had requests.
 
     Not counted are spoilt answers and resets of targets that live on, links that are cut, and
@@ -72,26 +72,26 @@
         self.guard = guard
         self.probe_address = probe_address
         # Requests that were cut, for one question at each target.
-        self._cut: dict[TargetState, list[RequestSignature]] = {}
+        self._cut_requests: dict[TargetState, list[RequestSignature]] = {}
 
-    def cut(self, state: TargetState, request: RequestSignature) -> None:
+    def record_cut(self, state: TargetState, request: RequestSignature) -> None:
         """Learn that a target cut the answer to a request."""
-        if state.leaving and not state.replaced:
+        if state.is_leaving and not state.is_replaced:
             return
-        if state in self._cut:
-            self._cut[state].append(request)
+        if state in self._cut_requests:
+            self._cut_requests[state].append(request)
             return
-        self._cut[state] = [request]
-        known = self.registry.at_address(state.address) | {state.record.identity}
-        eventlet.spawn_n(self._look, state, known, steady())
+        self._cut_requests[state] = [request]
+        known = self.registry.identities_at_address(state.address) | {state.record.identity}
+        eventlet.spawn_n(self._investigate, state, known, steady())
 
-    def _look(self, state: TargetState, known: set[str], cut_at: float) -> None:
-        eventlet.sleep(_PROBE_AFTER_SECONDS)
-        requests = self._cut.pop(state)
+    def _investigate(self, state: TargetState, known_identities: set[str], cut_at: float) -> None:
+        eventlet.sleep(_PROBE_DELAY_SECONDS)
+        requests = self._cut_requests.pop(state)
         presence = self._presence(state)
-        while presence is not Presence.ENDED and steady() - cut_at < _DOUBT_SECONDS:
-            eventlet.sleep(_DOUBT_PAUSE_SECONDS)
-            presence = self._after_all(state, presence, known)
+        while presence is not Presence.ENDED and steady() - cut_at < _RECHECK_SECONDS:
+            eventlet.sleep(_RECHECK_INTERVAL_SECONDS)
+            presence = self._recheck(state, presence, known_identities)
         record = state.record
         log_event(
             Event.TARGET_CUT,
@@ -103,7 +103,7 @@
         )
         if presence is Presence.ENDED:
             # Nobody else need find out by a connection that fails.
-            state.unreachable(steady())
+            state.record_unreachable(steady())
             self.guard.record_target_end(TargetEnd(record.incarnation, record.started), requests)
 
     def _presence(self, state: TargetState) -> Presence:
@@ -113,16 +113,21 @@
             return Presence.UNKNOWN
         return presence
 
-    def _after_all(self, state: TargetState, before: Presence, known: set[str]) -> Presence:
+    def _recheck(
+        self, state: TargetState, before: Presence, known_identities: set[str]
+    ) -> Presence:
         """Look for later signs of an end; an instance that was asleep sees only these.
 
         A new start may listen by the time that the address is tried, or a link may be cut
         right after the target's end.
         """
-        if state.replaced or self.registry.at_address(state.address) - known:
+        if (
+            state.is_replaced
+            or self.registry.identities_at_address(state.address) - known_identities
+        ):
             return Presence.ENDED
         if before is Presence.HERE:
             return before
-        if state.gone:
+        if state.is_removed:
             return Presence.ENDED
         return self._presence(state)
--- a/whinrack/dispatch/_dispatcher.py
+++ b/whinrack/dispatch/_dispatcher.py
@@ -14,19 +14,19 @@
     TIMEOUT_MARGIN,
     AttemptFailed,
     AttemptRunner,
-    NobodyTakesIt,
+    NoTargetAvailable,
 )
 from whinrack.dispatch._current_configuration import CurrentConfiguration
 from whinrack.dispatch._pacing import StreamPacing
 from whinrack.dispatch._refusals import BUSY_RETRY_SECONDS
 from whinrack.dispatch._registry import TargetRegistry
-from whinrack.dispatch._request_run import Run
-from whinrack.dispatch._retries import RetryAllowances, RetryBudget
+from whinrack.dispatch._request_run import RequestRun
+from whinrack.dispatch._retries import RetryBudget, RetryBudgets
 from whinrack.dispatch._run_log import (
     log_attempt,
     log_refusal,
+    log_reservation_refused,
     log_run,
-    log_uncovered,
 )
 from whinrack.dispatch._values import IncomingRequest, Route, TargetsView
 from whinrack.dispatch.base import Dialect
@@ -43,9 +43,9 @@
 
 __all__ = ["DispatchOptions", "Dispatcher"]
 
-_UNREACHED_TRIES = 4
+_MAX_UNSENT_ATTEMPTS = 4
 # Of the rate of arriving requests, seconds.
-_ARRIVALS_HALF_LIFE = 2.0
+_ARRIVAL_RATE_HALF_LIFE = 2.0
 
 
 class DispatchOptions(msgspec.Struct, frozen=True):
@@ -78,11 +78,11 @@
     connections : ConnectionPool
     metrics : Metrics
     options : DispatchOptions
-    instances : callable
+    instance_count : callable
         Returns the number of instances that share the retries.
     targets_view : callable
         Returns how up to date the registry is, for the log.
-    moved : callable
+    record_traffic : callable
         Told what moved to and from a target: what it is, the target's data hall, its bytes.
     guard : RunGuard, optional
         Keeps requests from targets, and is told how runs end.
@@ -97,38 +97,40 @@
         connections: ConnectionPool,
         metrics: Metrics,
         options: DispatchOptions,
-        instances: Callable[[], int],
+        instance_count: Callable[[], int],
         targets_view: Callable[[], TargetsView],
-        moved: Callable[[str, str, int], None],
+        record_traffic: Callable[[str, str, int], None],
         guard: RunGuard | None = None,
     ):
         self.dialect = dialect
         self.current_configuration = current_configuration
         self.keeper = keeper
         self.metrics = metrics
-        self.instances = instances
+        self.instance_count = instance_count
         self.requests_in_progress = 0
-        self.arrivals = DemandEstimate(half_life=_ARRIVALS_HALF_LIFE)
+        self.arrivals = DemandEstimate(half_life=_ARRIVAL_RATE_HALF_LIFE)
         self.is_refusing_requests = False
-        self.allowances = RetryAllowances(
+        self.retry_budgets = RetryBudgets(
             options.retry_ratio, options.retry_slack, options.retry_window
         )
-        self.attempts = AttemptRunner(
+        self.attempt_runner = AttemptRunner(
             dialect,
             registry,
             connections,
             AnswerRelay(metrics, StreamPacing(options.cores, options.event_delay)),
-            self.allowances,
+            self.retry_budgets,
             metrics,
-            instances,
+            instance_count,
             targets_view,
-            moved,
+            record_traffic,
             guard,
         )
 
     def apply_options(self, options: DispatchOptions) -> None:
         """Put changed limits of retries in force; what was sent again so far goes on counting."""
-        self.allowances.change(options.retry_ratio, options.retry_slack, options.retry_window)
+        self.retry_budgets.set_limits(
+            options.retry_ratio, options.retry_slack, options.retry_window
+        )
 
     def handle(self, exchange: Exchange) -> None:
         """Answer one request; `CallerGone` passes through."""
@@ -155,12 +157,12 @@
             raise RouterStopping("this instance stops", retry_after=BUSY_RETRY_SECONDS)
         configuration = self.current_configuration.get()
         route = configuration.find_route(request.host, request.path)
-        workspace = configuration.identify(route, request.key)
-        run = Run(exchange, request, configuration, route, workspace)
+        workspace = configuration.authenticate(route, request.key)
+        run = RequestRun(exchange, request, configuration, route, workspace)
         # What a request did at targets outlives its run, in the whole fleet: without that one that
         # comes again under new ids ended 88 targets in 20 s, with it 4.
-        self.attempts.guard.admit(run.name)
-        self._cover(run)
+        self.attempt_runner.guard.admit(run.request_name)
+        self._reserve_tokens(run)
         try:
             self._attempt_all(run)
         except CallerGone:
@@ -178,7 +180,7 @@
                     output=run.request.declared_tokens.output,
                 )
 
-    def _cover(self, run: Run) -> None:
+    def _reserve_tokens(self, run: RequestRun) -> None:
         declared = run.request.declared_tokens
         if declared is None or run.workspace is None:
             return
@@ -186,34 +188,34 @@
             return
         cover = self.keeper.cover(run.workspace.name, declared.total)
         if isinstance(cover, Failure):
-            log_uncovered(run, declared.total, self.keeper)
+            log_reservation_refused(run, declared.total, self.keeper)
             raise cover.failure()
         run.reservation = cover.unwrap()
 
     # --- attempts ----------------------------------------------------------------
 
-    def _attempt_all(self, run: Run) -> None:
+    def _attempt_all(self, run: RequestRun) -> None:
         pool = self._choose_pool(run.route)
-        allowance = self.allowances.of(pool)
+        allowance = self.retry_budgets.for_pool(pool)
         allowance.record_request(steady())
         unreached = 0
         while True:
             try:
-                self.attempts.attempt(run, pool)
+                self.attempt_runner.attempt(run, pool)
                 return
             except AttemptFailed as failed:
-                unreached += not failed.counts
+                unreached += not failed.was_sent
                 log_attempt(run, failed.refusal)
-                if not self._may_go_on(run, failed, unreached, allowance):
-                    raise self._final(run, failed.refusal) from failed
-                self._admit_again(run)
+                if not self._can_retry(run, failed, unreached, allowance):
+                    raise self._final_refusal(run, failed.refusal) from failed
+                self._check_quarantine_again(run)
 
-    def _admit_again(self, run: Run) -> None:
+    def _check_quarantine_again(self, run: RequestRun) -> None:
         """Look again whether the request is kept out: its own attempts count against it."""
         try:
-            self.attempts.guard.admit(run.name)
+            self.attempt_runner.guard.admit(run.request_name)
         except Refusal as refusal:
-            raise self._final(run, refusal) from refusal
+            raise self._final_refusal(run, refusal) from refusal
 
     def _choose_pool(self, route: Route) -> str:
         shares = route.weighted_pools
@@ -222,27 +224,31 @@
         weights = [share.weight for share in shares]
         return random.choices(shares, weights)[0].pool
 
-    def _may_go_on(
-        self, run: Run, failed: AttemptFailed, unreached: int, allowance: RetryBudget
+    def _can_retry(
+        self,
+        run: RequestRun,
+        failed: AttemptFailed,
+        unsent_attempts: int,
+        retry_budget: RetryBudget,
     ) -> bool:
-        if failed.refusal.outcome is not Outcome.NOT_RUN and not run.route.may_run_again:
+        if failed.refusal.outcome is not Outcome.NOT_RUN and not run.route.can_run_again:
             return False
-        if run.seconds_left() <= TIMEOUT_MARGIN or unreached >= _UNREACHED_TRIES:
+        if run.seconds_left() <= TIMEOUT_MARGIN or unsent_attempts >= _MAX_UNSENT_ATTEMPTS:
             return False
-        if isinstance(failed, NobodyTakesIt):
+        if isinstance(failed, NoTargetAvailable):
             return False
-        if not failed.counts:
+        if not failed.was_sent:
             return True
         if run.attempts >= run.route.max_attempts:
             self.metrics.retries_denied.labels("attempts").inc()
             return False
-        if not allowance.try_take(steady(), self.instances()):
+        if not retry_budget.try_take(steady(), self.instance_count()):
             self.metrics.retries_denied.labels("budget").inc()
             return False
         self.metrics.retries.labels(failed.refusal.code).inc()
         return True
 
-    def _final(self, run: Run, refusal: Refusal) -> Refusal:
+    def _final_refusal(self, run: RequestRun, refusal: Refusal) -> Refusal:
         """Promise nothing that an earlier attempt may have broken."""
         refusal.attempts = run.attempts
         if run.may_have_run and refusal.outcome is Outcome.NOT_RUN:
--- a/whinrack/dispatch/_emptied_halls.py
+++ b/whinrack/dispatch/_emptied_halls.py
@@ -11,7 +11,7 @@
 
 # Words that are kept and told, of halls that are in use again the oldest go first. The largest
 # fleet aimed at has 39 halls; a word is some 20 bytes in each heartbeat.
-_MOST_WORDS = 100
+_MAX_STATUSES = 100
 
 
 class HallStatus(msgspec.Struct, frozen=True, array_like=True):
@@ -30,7 +30,7 @@
     version: int
     is_emptied: bool
 
-    def goes_before(self, other: "HallStatus") -> bool:
+    def supersedes(self, other: "HallStatus") -> bool:
         """Whether this is the later word; at one revision a hall is first emptied, then back."""
         return (self.version, not self.is_emptied) > (other.version, not other.is_emptied)
 
@@ -39,7 +39,7 @@
     """The latest word on each data hall that was ever emptied."""
 
     def __init__(self):
-        self._words: dict[str, HallStatus] = {}
+        self._statuses: dict[str, HallStatus] = {}
         self._emptied: frozenset[str] = frozenset()
 
     @property
@@ -47,16 +47,18 @@
         """The halls whose targets get nothing."""
         return self._emptied
 
-    def update(self, word: HallStatus) -> bool:
+    def update(self, status: HallStatus) -> bool:
         """Take in a word; True if a hall was emptied or came back by it."""
-        known = self._words.get(word.hall)
-        if known is not None and not word.goes_before(known):
+        known = self._statuses.get(status.hall)
+        if known is not None and not status.supersedes(known):
             return False
-        self._words[word.hall] = word
-        self._forget()
-        was_emptied = word.hall in self._emptied
-        self._emptied = frozenset(name for name, known in self._words.items() if known.is_emptied)
-        return was_emptied != (word.hall in self._emptied)
+        self._statuses[status.hall] = status
+        self._drop_oldest()
+        was_emptied = status.hall in self._emptied
+        self._emptied = frozenset(
+            name for name, known in self._statuses.items() if known.is_emptied
+        )
+        return was_emptied != (status.hall in self._emptied)
 
     def released_by_list(self, listed: set[str], revision: int) -> list[HallStatus]:
         """Return the words that a whole list of the store says by what isn't in it.
@@ -70,19 +72,19 @@
         """
         return [
             HallStatus(word.hall, word.version, is_emptied=False)
-            for word in self._words.values()
+            for word in self._statuses.values()
             if word.is_emptied and word.hall not in listed and word.version <= revision
         ]
 
     def statuses(self) -> list[HallStatus]:
         """Return every word, for the peers."""
-        return list(self._words.values())
+        return list(self._statuses.values())
 
-    def _forget(self) -> None:
+    def _drop_oldest(self) -> None:
         """Drop the oldest words on halls that are in use again."""
         back = sorted(
-            (word for word in self._words.values() if not word.is_emptied),
+            (word for word in self._statuses.values() if not word.is_emptied),
             key=lambda word: word.version,
         )
-        for word in back[: max(0, len(self._words) - _MOST_WORDS)]:
-            del self._words[word.hall]
+        for word in back[: max(0, len(self._statuses) - _MAX_STATUSES)]:
+            del self._statuses[word.hall]
--- a/whinrack/dispatch/_engine_choice.py
+++ b/whinrack/dispatch/_engine_choice.py
@@ -9,14 +9,14 @@
 
 import msgspec
 
-__all__ = ["EngineLoad", "PromptNeed", "choose_engine"]
+__all__ = ["EngineBacklog", "PromptSize", "choose_engine"]
 
 # Tokens that a running request counts for beside those of its prompt: what it makes slows the
 # others' reading by about 2 ms, at 50 tokens read in a ms.
-_TOKENS_OF_A_REQUEST = 100
+_TOKENS_PER_REQUEST = 100
 # Tokens that each request beyond the slots counts for: it waits until a whole answer has ended,
 # some 0.4 s.
-_TOKENS_OF_A_WAITING_REQUEST = 20_000
+_TOKENS_PER_QUEUED_REQUEST = 20_000
 # A prompt leaves the engine that has its shared parts only for one that is ahead by so many times
 # these, and by so many tokens more. What is read twice makes all wait: replayed at 1.7 times the
 # usual load (330 prompts a second at 39 engines that read 40 tokens a ms; 34 s, mean of two
@@ -27,7 +27,7 @@
 _SHARED_SLACK = 16_000
 
 
-class PromptNeed(msgspec.Struct, frozen=True):
+class PromptSize(msgspec.Struct, frozen=True):
     """What has to be read for a request.
 
     Attributes
@@ -39,10 +39,10 @@
     """
 
     tokens: int = 0
-    shared: int = 0
+    shared_tokens: int = 0
 
 
-class EngineLoad(msgspec.Struct, frozen=True):
+class EngineBacklog(msgspec.Struct, frozen=True):
     """The work ahead at one engine.
 
     Attributes
@@ -57,35 +57,35 @@
     """
 
     name: str
-    unread: int
+    unread_tokens: int
     requests: int
     slots: int
 
     @property
-    def ahead(self) -> int:
+    def tokens_ahead(self) -> int:
         """Tokens' worth of work that a newcomer waits for."""
         waiting = max(0, self.requests + 1 - self.slots)
         return (
-            self.unread
-            + self.requests * _TOKENS_OF_A_REQUEST
-            + waiting * _TOKENS_OF_A_WAITING_REQUEST
+            self.unread_tokens
+            + self.requests * _TOKENS_PER_REQUEST
+            + waiting * _TOKENS_PER_QUEUED_REQUEST
         )
 
 
 def choose_engine(
-    home: EngineLoad | None, sampled: Sequence[EngineLoad], shared: int
-) -> EngineLoad:
+    preferred: EngineBacklog | None, sampled: Sequence[EngineBacklog], shared_tokens: int
+) -> EngineBacklog:
     """Return the engine that is expected to read a prompt first.
 
     Parameters
     ----------
-    home : EngineLoad or None
+    preferred : EngineLoad or None
         The engine that has the prompt's shared parts most likely.
     sampled : sequence of EngineLoad
         Some others, one at least.
-    shared : int
+    shared_tokens : int
         Tokens of the shared parts.
     """
-    best = min(sampled, key=lambda engine: engine.ahead)
-    allowed = best.ahead + _SHARED_FACTOR * shared + _SHARED_SLACK
-    return home if home is not None and home.ahead <= allowed else best
+    best = min(sampled, key=lambda engine: engine.tokens_ahead)
+    allowed = best.tokens_ahead + _SHARED_FACTOR * shared_tokens + _SHARED_SLACK
+    return preferred if preferred is not None and preferred.tokens_ahead <= allowed else best
--- a/whinrack/dispatch/_events.py
+++ b/whinrack/dispatch/_events.py
@@ -10,7 +10,7 @@
 
 _END = b"\n\n"
 _ID = b"id:"
-_LONGEST_EVENT = 1_000_000
+_MAX_EVENT_BYTES = 1_000_000
 
 
 class EventBlock(msgspec.Struct, frozen=True):
@@ -49,7 +49,7 @@
             block = _block(whole + _END, after)
             if block.count:
                 yield block
-        if len(rest) > _LONGEST_EVENT:
+        if len(rest) > _MAX_EVENT_BYTES:
             raise AnswerCut("an event without an end")
     if rest.strip():
         raise AnswerCut("the stream ended inside an event")
--- a/whinrack/dispatch/_open_connections.py
+++ b/whinrack/dispatch/_open_connections.py
@@ -3,10 +3,10 @@
 from whinrack.dispatch._target_state import TargetState
 from whinrack.http1 import ConnectionPool, TargetConnection
 
-__all__ = ["ConnectionsUnderWay"]
+__all__ = ["OpenConnections"]
 
 
-class ConnectionsUnderWay:
+class OpenConnections:
     """Knows what is under way at each target, to end it when the target is known to have ended.
 
     Parameters
@@ -29,7 +29,7 @@
         if not connections:
             self._by_target.pop(state, None)
 
-    def target_started_anew(self, state: TargetState) -> None:
+    def abort_replaced(self, state: TargetState) -> None:
         """End what is under way at an earlier start: its answers never come.
 
         Behind a cut link no reset tells so, and callers would wait for their deadlines.
--- a/whinrack/dispatch/_pacing.py
+++ b/whinrack/dispatch/_pacing.py
@@ -8,11 +8,11 @@
 
 # Processor time to read and pass on one piece of a stream, seconds: 0.26 ms of a real daemon
 # with 30 streams on a busy machine, less on a calm one.
-_PIECE_SECONDS = 0.0002
+_CPU_SECONDS_PER_PIECE = 0.0002
 # Part of the processor that all streams together should take at most.
-_PART_OF_CORES = 0.25
+_MAX_CPU_FRACTION = 0.25
 # Shorter pauses save nothing.
-_SHORTEST_SECONDS = 0.01
+_MIN_PAUSE_SECONDS = 0.01
 
 
 class StreamPacing:
@@ -25,21 +25,21 @@
     ----------
     cores : float
         Processor time that this instance may use, seconds a second; 0 if it isn't known.
-    longest : float
+    max_pause : float
         Most seconds that an event may be held; 0 for none.
     """
 
-    def __init__(self, cores: float, longest: float):
+    def __init__(self, cores: float, max_pause: float):
         self.cores = cores or 1.0
-        self.longest = longest
+        self.max_pause = max_pause
         self.open_streams = 0
 
     def pause(self) -> float:
         """Return the seconds to wait after a piece, 0 for none."""
-        wanted = self.open_streams * _PIECE_SECONDS / (_PART_OF_CORES * self.cores)
-        return 0.0 if wanted < _SHORTEST_SECONDS else min(self.longest, wanted)
+        wanted = self.open_streams * _CPU_SECONDS_PER_PIECE / (_MAX_CPU_FRACTION * self.cores)
+        return 0.0 if wanted < _MIN_PAUSE_SECONDS else min(self.max_pause, wanted)
 
-    def space(self, pieces: Iterable[bytes]) -> Iterator[bytes]:
+    def paced(self, pieces: Iterable[bytes]) -> Iterator[bytes]:
         """Yield the pieces of one stream with pauses between them."""
         self.open_streams += 1
         try:
--- a/whinrack/dispatch/_rate_bounds.py
+++ b/whinrack/dispatch/_rate_bounds.py
@@ -7,17 +7,17 @@
 
 import msgspec
 
-__all__ = ["RateBound", "RateShare", "WarmUpLimits", "share_of"]
+__all__ = ["RateBound", "RateShare", "WarmUpLimits", "compute_share"]
 
 # Part of a cold target's rate that the holders use if the bound allows it.
-_WARM_UP_USED_PART = 0.75
-_WARM_UP_DEPTH = 1.0
+_WARM_UP_UTILIZATION = 0.75
+_WARM_UP_BURST = 1.0
 # Holders of one target: each adds the depth of its bucket to what may come in a window, so small
 # rates have two, one of which may be away, and large ones as many as have callers to use them.
-_FEWEST_HOLDERS = 2
-_RATE_OF_A_HOLDER = 1.0
+_MIN_HOLDERS = 2
+_RATE_PER_HOLDER = 1.0
 # Halves of a fleet that may know nothing of each other.
-_SEPARATE_VIEWS = 2
+_MAX_PARTITIONS = 2
 
 
 class RateBound(msgspec.Struct, frozen=True):
@@ -42,10 +42,10 @@
 
     rate: float
     max_requests: float
-    window: float
-    used_part: float
-    most_depth: float
-    whole_at_times: bool = False
+    window_seconds: float
+    utilization: float
+    max_burst: float
+    can_use_full_rate: bool = False
 
 
 class WarmUpLimits(msgspec.Struct, frozen=True):
@@ -64,7 +64,7 @@
     def rate_bound(self, rate: float) -> RateBound:
         """Return the bound of a target that bears some requests a second."""
         most = rate * self.overage + self.slack
-        return RateBound(rate, most, 1.0, _WARM_UP_USED_PART, _WARM_UP_DEPTH)
+        return RateBound(rate, most, 1.0, _WARM_UP_UTILIZATION, _WARM_UP_BURST)
 
 
 class RateShare(msgspec.Struct, frozen=True):
@@ -83,10 +83,10 @@
 
     holders: int
     rate: float
-    depth: float = 1.0
+    burst: float = 1.0
 
 
-def share_of(bound: RateBound, members: int, is_whole: bool = False) -> RateShare:
+def compute_share(bound: RateBound, members: int, is_complete: bool = False) -> RateShare:
     """Return how many of some instances may send to a target, and how much each.
 
     Parameters
@@ -94,27 +94,27 @@
     bound : RateBound
     members : int
         Instances to which callers come, one at least.
-    is_whole : bool
+    is_complete : bool
         No instance is missing.
     """
-    if is_whole and bound.whole_at_times:
-        return _share_of_whole(bound, members)
-    half = bound.max_requests / _SEPARATE_VIEWS
-    spare = half - bound.used_part * bound.rate * bound.window
-    most_holders = max(_FEWEST_HOLDERS, int(bound.rate / _RATE_OF_A_HOLDER))
+    if is_complete and bound.can_use_full_rate:
+        return _share_of_complete_fleet(bound, members)
+    half = bound.max_requests / _MAX_PARTITIONS
+    spare = half - bound.utilization * bound.rate * bound.window_seconds
+    most_holders = max(_MIN_HOLDERS, int(bound.rate / _RATE_PER_HOLDER))
     holders = max(1, min(most_holders, int(spare), members))
-    depth = min(bound.most_depth, max(1.0, spare / holders))
-    used = min(bound.rate, max(0.0, (half - holders * depth) / bound.window))
+    depth = min(bound.max_burst, max(1.0, spare / holders))
+    used = min(bound.rate, max(0.0, (half - holders * depth) / bound.window_seconds))
     return RateShare(holders, used / holders, depth)
 
 
-def _share_of_whole(bound: RateBound, members: int) -> RateShare:
+def _share_of_complete_fleet(bound: RateBound, members: int) -> RateShare:
     """Return the shares of a fleet that misses nobody: all of the rate, among many holders.
 
     Each has room for a request on its way and for one saved up. With few holders callers of the
     other instances were refused though the targets took more than all callers brought.
     """
-    spare = bound.max_requests - bound.rate * bound.window
+    spare = bound.max_requests - bound.rate * bound.window_seconds
     holders = max(1, min(int(spare / 2.0), members))
-    depth = min(bound.most_depth, max(1.0, spare / holders - 1.0))
+    depth = min(bound.max_burst, max(1.0, spare / holders - 1.0))
     return RateShare(holders, bound.rate / holders, depth)
--- a/whinrack/dispatch/_rate_limiter.py
+++ b/whinrack/dispatch/_rate_limiter.py
@@ -5,7 +5,7 @@
 
 from whinrack.dispatch._rate_bounds import RateBound, WarmUpLimits
 from whinrack.dispatch._shared_rates import SharedRatePermits
-from whinrack.dispatch._stated_limits import NO_LIMIT, StatedLimits, stated_bound
+from whinrack.dispatch._stated_limits import NO_LIMIT, StatedLimits, stated_rate_bound
 from whinrack.dispatch._target_state import TargetState
 from whinrack.dispatch._values import ColdStart
 
@@ -21,77 +21,86 @@
 
     Parameters
     ----------
-    limits : StatedLimits
-    permits : SharedRatePermits
-    warm_up : WarmUpLimits
+    stated_limits : StatedLimits
+    rate_permits : SharedRatePermits
+    warm_up_limits : WarmUpLimits
         What cold targets bear.
     """
 
-    def __init__(self, limits: StatedLimits, permits: SharedRatePermits, warm_up: WarmUpLimits):
-        self.limits = limits
-        self.permits = permits
-        self.warm_up_limits = warm_up
-
-    def binds_nothing(self, cold_start: ColdStart | None) -> bool:
+    def __init__(
+        self,
+        stated_limits: StatedLimits,
+        rate_permits: SharedRatePermits,
+        warm_up_limits: WarmUpLimits,
+    ):
+        self.stated_limits = stated_limits
+        self.rate_permits = rate_permits
+        self.warm_up_limits = warm_up_limits
+
+    def is_pool_unlimited(self, cold_start: ColdStart | None) -> bool:
         """Whether no target of a pool can be bound now, which is known without a look at each."""
-        return cold_start is None and self.limits.is_empty
+        return cold_start is None and self.stated_limits.is_empty
 
-    def bound(
+    def rate_bound(
         self, state: TargetState, cold_start: ColdStart | None, now: float
     ) -> RateBound | None:
         """Return what a target takes from all instances, None if nothing bounds it."""
-        stated = self.limits.rate(state.record.identity)
+        stated = self.stated_limits.rate(state.record.identity)
         cold = state.is_cold(cold_start, now)
         if stated == NO_LIMIT:
             return self.warm_up_limits.rate_bound(cold_start.rate) if cold else None
         if cold and cold_start.rate < stated:
             return self.warm_up_limits.rate_bound(cold_start.rate)
-        return stated_bound(stated)
+        return stated_rate_bound(stated)
 
-    def is_limited(self, state: TargetState) -> bool:
+    def has_stated_limit(self, state: TargetState) -> bool:
         """Whether a target states a limit."""
-        return self.limits.rate(state.record.identity) != NO_LIMIT
+        return self.stated_limits.rate(state.record.identity) != NO_LIMIT
 
     def permitted_rate(self, target: str) -> float:
         """Return the requests a second that this instance may send to a limited target."""
-        rate = self.limits.rate(target)
+        rate = self.stated_limits.rate(target)
         if rate == NO_LIMIT:
             return NO_LIMIT
-        shares = self.permits.held_shares({target: stated_bound(rate)})
+        shares = self.rate_permits.held_shares({target: stated_rate_bound(rate)})
         return shares[target].rate if shares else 0.0
 
-    def may_send(self, state: TargetState, cold_start: ColdStart | None, now: float) -> bool:
+    def can_send(self, state: TargetState, cold_start: ColdStart | None, now: float) -> bool:
         """Whether a target takes one more request from here."""
-        bound = self.bound(state, cold_start, now)
+        bound = self.rate_bound(state, cold_start, now)
         if bound is None:
             return True
         target = state.record.identity
-        most = self.permits.most_unanswered(target, bound)
-        if self.is_limited(state) and state.unanswered >= most:
+        most = self.rate_permits.max_unanswered(target, bound)
+        if self.has_stated_limit(state) and state.unanswered_requests >= most:
             return False
-        return self.permits.has_permit(target, bound, now, self.limits.silent(target))
+        return self.rate_permits.has_permit(
+            target, bound, now, self.stated_limits.silent_seconds(target)
+        )
 
-    def asks_again(self, state: TargetState, cold_start: ColdStart | None, now: float) -> bool:
+    def is_probe_due(self, state: TargetState, cold_start: ColdStart | None, now: float) -> bool:
         """Whether to send a limited target a request to learn if the limit holds.
 
         One at a time: a target that answers nothing would get its rate while others have room.
         """
-        if not self.is_limited(state) or state.unanswered:
+        if not self.has_stated_limit(state) or state.unanswered_requests:
             return False
-        if not self.limits.asks_again(state.record.identity):
+        if not self.stated_limits.is_probe_due(state.record.identity):
             return False
-        return self.may_send(state, cold_start, now)
+        return self.can_send(state, cold_start, now)
 
-    def take(self, state: TargetState, cold_start: ColdStart | None, now: float) -> float | None:
+    def take_permit(
+        self, state: TargetState, cold_start: ColdStart | None, now: float
+    ) -> float | None:
         """Use up a permit if one is needed; returns until when it is good, None without one."""
-        bound = self.bound(state, cold_start, now)
+        bound = self.rate_bound(state, cold_start, now)
         if bound is None:
             return None
         target = state.record.identity
-        self.permits.take_permit(target, bound, now, self.limits.silent(target))
+        self.rate_permits.take_permit(target, bound, now, self.stated_limits.silent_seconds(target))
         return now + _PERMIT_SECONDS
 
-    def still_takes(
+    def can_still_send(
         self,
         state: TargetState,
         cold_start: ColdStart | None,
@@ -102,11 +111,11 @@
 
         The target may have stated a limit, or turned cold, since then; a permit is used up then.
         """
-        if self.bound(state, cold_start, now) is None:
+        if self.rate_bound(state, cold_start, now) is None:
             return True
         if permit_until is not None and now <= permit_until:
             return True
-        if not self.may_send(state, cold_start, now):
+        if not self.can_send(state, cold_start, now):
             return False
-        self.take(state, cold_start, now)
+        self.take_permit(state, cold_start, now)
         return True
--- a/whinrack/dispatch/_refusals.py
+++ b/whinrack/dispatch/_refusals.py
@@ -15,7 +15,7 @@
     TargetUnavailable,
 )
 
-__all__ = ["BUSY_RETRY_SECONDS", "no_target", "target_full", "why_nobody"]
+__all__ = ["BUSY_RETRY_SECONDS", "no_target_refusal", "target_full_refusal", "pool_refusal"]
 
 # After which a caller may come back when targets are full.
 BUSY_RETRY_SECONDS = 0.25
@@ -26,24 +26,28 @@
 _LEAVING_RETRY_SECONDS = 1.0
 
 
-def no_target(retry_after: float = BUSY_RETRY_SECONDS) -> Refusal:
+def no_target_refusal(retry_after: float = BUSY_RETRY_SECONDS) -> Refusal:
     """Return the refusal of a request that no target takes."""
     return TargetUnavailable("no target takes work now", retry_after=retry_after)
 
 
-def target_full(registry: TargetRegistry, pool: PoolRecord, now: float) -> Refusal:
+def target_full_refusal(registry: TargetRegistry, pool: PoolRecord, now: float) -> Refusal:
     """Return the refusal of a request that a target has turned away."""
-    others_take_work = registry.has_other(pool.name, (), now, pool.cold_start)
-    wait = BUSY_RETRY_SECONDS if others_take_work else why_nobody(registry, pool, now).retry_after
+    others_take_work = registry.has_eligible_target(pool.name, (), now, pool.cold_start)
+    wait = BUSY_RETRY_SECONDS if others_take_work else pool_refusal(registry, pool, now).retry_after
     return TargetUnavailable("the target is full", retry_after=wait)
 
 
-def why_nobody(registry: TargetRegistry, pool: PoolRecord, now: float) -> Refusal:
+def pool_refusal(registry: TargetRegistry, pool: PoolRecord, now: float) -> Refusal:
     """Return the refusal of a request for a pool none of whose targets takes it."""
     states = registry.targets_in_pool(pool.name)
-    backoffs = [registry.backoff_left(state, now) for state in states if registry.is_in_use(state)]
+    backoffs = [
+        registry.backoff_seconds_left(state, now)
+        for state in states
+        if registry.is_in_service(state)
+    ]
     first_end = min((left for left in backoffs if left), default=None)
-    few = _all_take_few(registry, pool, now)
+    few = _rate_limited_refusal(registry, pool, now)
     if few is not None:
         if first_end is not None:
             few.retry_after = min(few.retry_after, first_end)
@@ -52,31 +56,31 @@
         return TargetsOverloaded(
             "all targets told this instance to back off", retry_after=first_end
         )
-    if states and all(state.leaving for state in states):
-        return no_target(_LEAVING_RETRY_SECONDS)
-    emptied = _emptied_for(registry, pool, now)
+    if states and all(state.is_leaving for state in states):
+        return no_target_refusal(_LEAVING_RETRY_SECONDS)
+    emptied = _emptied_seconds(registry, pool, now)
     if emptied is None:
-        return no_target()
+        return no_target_refusal()
     # What has lasted for so long lasts for as long again: a caller that comes back once, after
     # 0.25 s, finds the hall emptied still.
     least, most = _EMPTIED_RETRY_BOUNDS
-    return no_target(min(most, max(least, emptied)))
+    return no_target_refusal(min(most, max(least, emptied)))
 
 
-def _all_take_few(registry: TargetRegistry, pool: PoolRecord, now: float) -> Refusal | None:
+def _rate_limited_refusal(registry: TargetRegistry, pool: PoolRecord, now: float) -> Refusal | None:
     """Return the refusal of a request for a pool all of whose targets take few requests.
 
     None if one of them takes more, or there is none.
     """
     bearing, cold_start = registry.rate_limiter, pool.cold_start
     states = [
-        state for state in registry.targets_in_pool(pool.name) if registry.may_be_sent(state, now)
+        state for state in registry.targets_in_pool(pool.name) if registry.is_eligible(state, now)
     ]
-    bounds = {state.record.identity: bearing.bound(state, cold_start, now) for state in states}
+    bounds = {state.record.identity: bearing.rate_bound(state, cold_start, now) for state in states}
     if not states or None in bounds.values():
         return None
-    wait = registry.rate_permits.wait(bounds, now)
-    only_cold = [state for state in states if not bearing.is_limited(state)]
+    wait = registry.rate_permits.retry_delay(bounds, now)
+    only_cold = [state for state in states if not bearing.has_stated_limit(state)]
     if only_cold:
         warm_at = min(state.cold_state.cold_until(cold_start.seconds) for state in only_cold)
         wait = min(warm_at - now, wait)
@@ -85,12 +89,12 @@
     return TargetsLimited("the targets take few requests now", retry_after=wait)
 
 
-def _emptied_for(registry: TargetRegistry, pool: PoolRecord, now: float) -> float | None:
+def _emptied_seconds(registry: TargetRegistry, pool: PoolRecord, now: float) -> float | None:
     """Return for how long the halls of all targets of a pool that work have been emptied.
 
     None if that isn't why the pool takes no request.
     """
-    states = [state for state in registry.targets_in_pool(pool.name) if not state.leaving]
-    if not states or any(map(registry.is_in_use, states)):
+    states = [state for state in registry.targets_in_pool(pool.name) if not state.is_leaving]
+    if not states or any(map(registry.is_in_service, states)):
         return None
-    return now - max(registry.emptied_at[state.record.data_hall] for state in states)
+    return now - max(registry.hall_emptied_at[state.record.data_hall] for state in states)
--- a/whinrack/dispatch/_remote_loads.py
+++ b/whinrack/dispatch/_remote_loads.py
@@ -8,17 +8,17 @@
 _FRESH_SECONDS = 1.5
 
 
-class _Sum:
+class _LoadTotals:
     """Numbers of several instances by target, summed up."""
 
     def __init__(self):
-        self._told: dict[str, dict[int, int]] = {}
+        self._by_instance: dict[str, dict[int, int]] = {}
         self._totals: Counter[int] = Counter()
 
     def replace(self, instance: str, numbers: dict[int, int]) -> None:
-        self._totals.subtract(self._told.pop(instance, {}))
+        self._totals.subtract(self._by_instance.pop(instance, {}))
         if numbers:
-            self._told[instance] = numbers
+            self._by_instance[instance] = numbers
             self._totals.update(numbers)
 
     def at(self, digest: int) -> int:
@@ -32,9 +32,9 @@
     """
 
     def __init__(self):
-        self._requests = _Sum()
-        self._unread = _Sum()
-        self._heard_at: dict[str, float] = {}
+        self._requests = _LoadTotals()
+        self._unread = _LoadTotals()
+        self._updated_at: dict[str, float] = {}
 
     def update(
         self,
@@ -45,16 +45,16 @@
     ) -> None:
         """Take in the requests in flight of one instance, and their unread tokens, by target."""
         self._replace(instance, counts, unread or {})
-        self._heard_at[instance] = now
-        for silent in [name for name, at in self._heard_at.items() if now - at > _FRESH_SECONDS]:
+        self._updated_at[instance] = now
+        for silent in [name for name, at in self._updated_at.items() if now - at > _FRESH_SECONDS]:
             self._replace(silent, {}, {})
-            del self._heard_at[silent]
+            del self._updated_at[silent]
 
-    def at(self, digest: int) -> int:
+    def requests_at(self, digest: int) -> int:
         """Return the requests in flight of all others at a target."""
         return self._requests.at(digest)
 
-    def unread_at(self, digest: int) -> int:
+    def unread_tokens_at(self, digest: int) -> int:
         """Return the prompt tokens that a target has to read for all others."""
         return self._unread.at(digest)
 
--- a/whinrack/dispatch/_request_run.py
+++ b/whinrack/dispatch/_request_run.py
@@ -3,8 +3,8 @@
 from whinrack.budgets import Cover
 from whinrack.clock import steady
 from whinrack.dispatch._configuration import Configuration
-from whinrack.dispatch._engine_choice import PromptNeed
-from whinrack.dispatch._target_state import Reading
+from whinrack.dispatch._engine_choice import PromptSize
+from whinrack.dispatch._target_state import PendingPrompt
 from whinrack.dispatch._values import (
     IncomingRequest,
     PoolRecord,
@@ -15,10 +15,10 @@
 from whinrack.http1 import Exchange
 from whinrack.quarantine import RequestSignature, compute_fingerprint
 
-__all__ = ["Run"]
+__all__ = ["RequestRun"]
 
 
-class Run:
+class RequestRun:
     """What is known of a request, and what happened to it so far.
 
     Attributes
@@ -62,26 +62,28 @@
         self.configuration = configuration
         self.route = route
         self.workspace = workspace
-        self.end = exchange.arrived + min(request.deadline_seconds or route.timeout, route.timeout)
+        self.deadline = exchange.arrived + min(
+            request.deadline_seconds or route.timeout, route.timeout
+        )
         self.reservation: Cover | None = None
-        self.billed = 0
+        self.billed_tokens = 0
         self.attempts = 0
-        self.tried: set[str] = set()
+        self.tried_targets: set[str] = set()
         self.may_have_run = False
         self.events = 0
-        self.first_after = 0.0
-        self.longest_pause = 0.0
-        self._passed_on_at = 0.0
+        self.first_event_seconds = 0.0
+        self.max_pause_seconds = 0.0
+        self._last_relayed_at = 0.0
         self.last_id = request.resume_after
         self.target = ""
-        self.reading: Reading | None = None
+        self.pending_prompt: PendingPrompt | None = None
         self.targets_view = TargetsView()
         self.sent_at = 0.0
-        self.beside = 0
+        self.concurrent_requests = 0
         self._fingerprint = ""
 
     @property
-    def label(self) -> str:
+    def request_id(self) -> str:
         """The request's id, for logs."""
         return self.request.request_id.decode("latin-1")
 
@@ -96,7 +98,7 @@
         return self._fingerprint
 
     @property
-    def name(self) -> RequestSignature:
+    def request_name(self) -> RequestSignature:
         """What the quarantine knows the request by."""
         return RequestSignature(self.fingerprint, self.workspace_name, self.route.name)
 
@@ -119,28 +121,28 @@
         return parts[-2].name.hex() if len(parts) > 1 else ""
 
     @property
-    def prompt(self) -> PromptNeed | None:
+    def prompt(self) -> PromptSize | None:
         """What has to be read for the request, None if its caller doesn't say."""
         if self.request.declared_tokens is None:
             return None
         shared = sum(part.tokens for part in self.request.prompt_parts[:-1])
-        return PromptNeed(self.request.declared_tokens.prompt, shared)
+        return PromptSize(self.request.declared_tokens.prompt, shared)
 
     def seconds_left(self) -> float:
         """Time until the caller or the route gives up."""
-        return self.end - steady()
+        return self.deadline - steady()
 
-    def note_passed_on(self, count: int, last_id: int | None) -> None:
+    def record_relayed(self, count: int, last_id: int | None) -> None:
         """Count events that were passed on, and the pause before them."""
         now = steady()
         if self.events:
-            self.longest_pause = max(self.longest_pause, now - self._passed_on_at)
+            self.max_pause_seconds = max(self.max_pause_seconds, now - self._last_relayed_at)
         else:
-            self.first_after = now - self.exchange.arrived
-        if self.reading is not None:
+            self.first_event_seconds = now - self.exchange.arrived
+        if self.pending_prompt is not None:
             # The engine has read the prompt.
-            self.reading.end()
-        self._passed_on_at = now
+            self.pending_prompt.finish()
+        self._last_relayed_at = now
         self.events += count
         if last_id is not None:
             self.last_id = last_id
@@ -150,11 +152,11 @@
         if self.reservation is not None:
             self.reservation.settle(0)
 
-    def settle_whole(self, pool: PoolRecord) -> None:
+    def settle_complete(self, pool: PoolRecord) -> None:
         """Bill what the target handed out in an answer that is known to be whole."""
         self._bill(pool, self.events)
 
-    def settle_ended(self, pool: PoolRecord) -> None:
+    def settle_partial(self, pool: PoolRecord) -> None:
         """Bill what came of a run that its target ended early, and one more event.
 
         A part of an event may have come as well.
@@ -182,5 +184,5 @@
         if self.attempts > 1 and self.may_have_run:
             # An earlier target may have handed out events that never came here.
             made += declared.output
-        self.billed = min(declared.total, declared.prompt + made)
-        self.reservation.settle(self.billed)
+        self.billed_tokens = min(declared.total, declared.prompt + made)
+        self.reservation.settle(self.billed_tokens)
--- a/whinrack/dispatch/_retries.py
+++ b/whinrack/dispatch/_retries.py
@@ -2,10 +2,10 @@
 
 from collections import deque
 
-__all__ = ["RetryBudget", "RetryAllowances"]
+__all__ = ["RetryBudget", "RetryBudgets"]
 
 # Windows slide, and instances disagree on how many there are.
-_SAFETY = 0.7
+_SAFETY_FACTOR = 0.7
 
 
 class RetryBudget:
@@ -45,7 +45,7 @@
         """Whether a further attempt would be permitted now."""
         self._forget(now)
         allowed = self.ratio * len(self._requests) + self.slack / max(1, instances)
-        return len(self._retries) + 1 <= max(1.0, allowed * _SAFETY)
+        return len(self._retries) + 1 <= max(1.0, allowed * _SAFETY_FACTOR)
 
     def try_take(self, now: float, instances: int) -> bool:
         """Take a permit for one further attempt, if there is one."""
@@ -60,7 +60,7 @@
                 times.popleft()
 
 
-class RetryAllowances:
+class RetryBudgets:
     """The allowance of each pool, all with the same limits; see `RetryBudget`.
 
     Parameters
@@ -72,17 +72,17 @@
         self.ratio = ratio
         self.slack = slack
         self.window = window
-        self._of_pools: dict[str, RetryBudget] = {}
+        self._budgets: dict[str, RetryBudget] = {}
 
-    def of(self, pool: str) -> RetryBudget:
+    def for_pool(self, pool: str) -> RetryBudget:
         """Return the allowance of a pool."""
-        allowance = self._of_pools.get(pool)
+        allowance = self._budgets.get(pool)
         if allowance is None:
             allowance = RetryBudget(self.ratio, self.slack, self.window)
-            self._of_pools[pool] = allowance
+            self._budgets[pool] = allowance
         return allowance
 
-    def change(self, ratio: float, slack: float, window: float) -> None:
+    def set_limits(self, ratio: float, slack: float, window: float) -> None:
         """Put other limits in force; what was sent again so far goes on counting."""
-        for limits in (self, *self._of_pools.values()):
+        for limits in (self, *self._budgets.values()):
             limits.ratio, limits.slack, limits.window = ratio, slack, window
--- a/whinrack/dispatch/_run_log.py
+++ b/whinrack/dispatch/_run_log.py
@@ -2,19 +2,19 @@
 
 from whinrack.budgets import GrantManager
 from whinrack.clock import steady
-from whinrack.dispatch._request_run import Run
+from whinrack.dispatch._request_run import RequestRun
 from whinrack.exceptions import Refusal
 from whinrack.http1 import Exchange
 from whinrack.observability import Event, log_event
 
-__all__ = ["log_attempt", "log_refusal", "log_run", "log_uncovered"]
+__all__ = ["log_attempt", "log_refusal", "log_run", "log_reservation_refused"]
 
 
-def log_run(event: Event, run: Run, **fields) -> None:
+def log_run(event: Event, run: RequestRun, **fields) -> None:
     """Write a line with what is known of a request on its way."""
     log_event(
         event,
-        request=run.label,
+        request=run.request_id,
         fingerprint=run.fingerprint,
         route=run.route.name,
         workspace=run.workspace_name,
@@ -22,15 +22,15 @@
         targets=run.targets_view,
         attempts=run.attempts,
         events=run.events,
-        first=round(run.first_after, 4),
-        pause=round(run.longest_pause, 4),
+        first=round(run.first_event_seconds, 4),
+        pause=round(run.max_pause_seconds, 4),
         waited=_waited(run.exchange),
         configuration=run.configuration.version,
         **fields,
     )
 
 
-def log_attempt(run: Run, refusal: Refusal) -> None:
+def log_attempt(run: RequestRun, refusal: Refusal) -> None:
     """Tell that an attempt gave no answer, and why."""
     log_run(
         Event.ATTEMPT_FAILED,
@@ -39,16 +39,16 @@
         outcome=refusal.outcome,
         why=refusal.message,
         at_target=round(steady() - run.sent_at, 4) if run.sent_at else 0.0,
-        beside=run.beside,
+        beside=run.concurrent_requests,
     )
 
 
-def log_uncovered(run: Run, tokens: int, keeper: GrantManager) -> None:
+def log_reservation_refused(run: RequestRun, tokens: int, keeper: GrantManager) -> None:
     """Tell that tokens could not be set aside, and what was known of the budget."""
     last = keeper.last_result(run.workspace_name)
     log_event(
         Event.COVER_REFUSED,
-        request=run.label,
+        request=run.request_id,
         workspace=run.workspace_name,
         tokens=tokens,
         free=last.free if last is not None else "unknown",
--- a/whinrack/dispatch/_shared_rates.py
+++ b/whinrack/dispatch/_shared_rates.py
@@ -11,22 +11,22 @@
 from collections.abc import Callable, Collection, Mapping
 
 from whinrack.base import rendezvous
-from whinrack.dispatch._rate_bounds import RateBound, RateShare, share_of
+from whinrack.dispatch._rate_bounds import RateBound, RateShare, compute_share
 
 __all__ = ["SharedRatePermits"]
 
 # Targets whose buckets are kept; the oldest go first. A bucket that is made anew is full.
-_MOST_BUCKETS = 5000
+_MAX_BUCKETS = 5000
 # After an urgent request was turned away, less urgent ones leave it the next permit for so long:
 # the time after which it is told to come back, and the way.
 _YIELD_SECONDS = 0.5
 # Requests that were told so lately when to come back are ahead of a newcomer.
-_WAITING_SECONDS = 1.0
+_QUEUE_WINDOW_SECONDS = 1.0
 # After which a request is told to come back at least, most likely at another instance, where this
 # one has no permits.
-_NO_PERMITS_SECONDS = 0.5
+_MIN_RETRY_SECONDS = 0.5
 # The longest time after which one is told to come back: limits change meanwhile.
-_LONGEST_WAIT_SECONDS = 10.0
+_MAX_RETRY_SECONDS = 10.0
 # The holders of a target that has said nothing for so long may be gone or without callers; another
 # instance, each time the next one, may send it one request. So a limit ends also if they don't
 # learn of its end.
@@ -40,11 +40,11 @@
 
     def __init__(self, now: float):
         self.permits = 1.0
-        self.at = now
+        self.filled_at = now
 
-    def fill(self, rate: float, depth: float, now: float) -> None:
-        self.permits = min(depth, self.permits + rate * max(0.0, now - self.at))
-        self.at = now
+    def refill(self, rate: float, burst: float, now: float) -> None:
+        self.permits = min(burst, self.permits + rate * max(0.0, now - self.filled_at))
+        self.filled_at = now
 
 
 class SharedRatePermits:
@@ -76,58 +76,64 @@
         # Of targets and their bounds, for the members that were there last; with each share the
         # place of this instance among those that may hold it.
         self._shares: dict[tuple[str, RateBound], tuple[RateShare, int]] = {}
-        self._shared_by: frozenset[str] = frozenset()
-        self._shared_whole = False
+        self._known_members: frozenset[str] = frozenset()
+        self._was_complete = False
         # When a request of each rank was turned away last.
-        self._turned_away: dict[int, float] = {}
+        self._refused_at: dict[int, float] = {}
         # When requests were told to come back.
-        self._waiting: deque[float] = deque()
+        self._recent_refusals: deque[float] = deque()
 
     @classmethod
-    def of_one_instance(cls) -> "SharedRatePermits":
+    def for_single_instance(cls) -> "SharedRatePermits":
         """Return the permits of an instance that has no peers."""
         return cls("", lambda: [""], lambda: True)
 
-    def has_permit(self, target: str, bound: RateBound, now: float, silent: float = 0.0) -> bool:
+    def has_permit(
+        self, target: str, bound: RateBound, now: float, silent_seconds: float = 0.0
+    ) -> bool:
         """Whether a request may be sent to a target now.
 
         Parameters
         ----------
-        silent : float
+        silent_seconds : float
             Seconds for which the target has said nothing about what it takes.
         """
-        bucket = self._filled(target, bound, now, silent)
+        bucket = self._refilled_bucket(target, bound, now, silent_seconds)
         return bucket is not None and bucket.permits >= 1.0
 
-    def take_permit(self, target: str, bound: RateBound, now: float, silent: float = 0.0) -> None:
+    def take_permit(
+        self, target: str, bound: RateBound, now: float, silent_seconds: float = 0.0
+    ) -> None:
         """Use up a permit."""
-        bucket = self._filled(target, bound, now, silent)
+        bucket = self._refilled_bucket(target, bound, now, silent_seconds)
         if bucket is not None:
             bucket.permits -= 1.0
 
-    def most_unanswered(self, target: str, bound: RateBound) -> int:
+    def max_unanswered(self, target: str, bound: RateBound) -> int:
         """Return the requests to a target that may be on their way from here, one at least.
 
         What is held up on the way arrives together, beside what all holders send after it.
         """
-        share, _ = self._share_and_place(target, bound)
+        share, _ = self._share_and_position(target, bound)
         if not share.holders:
             return 1
-        of_a_holder = bound.max_requests / share.holders - share.depth - share.rate * bound.window
+        of_a_holder = (
+            bound.max_requests / share.holders - share.burst - share.rate * bound.window_seconds
+        )
         return max(1, int(of_a_holder))
 
-    def yields(self, rank: int, now: float) -> bool:
+    def has_more_urgent_waiting(self, priority: int, now: float) -> bool:
         """Whether a request leaves the next permit to a more urgent one that is to come back."""
         return any(
-            other < rank and now - at < _YIELD_SECONDS for other, at in self._turned_away.items()
+            other < priority and now - at < _YIELD_SECONDS for other, at in self._refused_at.items()
         )
 
-    def turned_away(self, rank: int, now: float) -> None:
+    def record_refusal(self, priority: int, now: float) -> None:
         """Learn that a request found no permit."""
         self.refused_count += 1
-        self._turned_away[rank] = now
+        self._refused_at[priority] = now
 
-    def wait(self, bounds: Mapping[str, RateBound], now: float) -> float:
+    def retry_delay(self, bounds: Mapping[str, RateBound], now: float) -> float:
         """Return the seconds after which a request that is turned away now may find a permit.
 
         Parameters
@@ -135,72 +141,74 @@
         bounds : mapping of str to RateBound
             Of the targets that it may go to.
         """
-        while self._waiting and now - self._waiting[0] > _WAITING_SECONDS:
-            self._waiting.popleft()
-        self._waiting.append(now)
+        while self._recent_refusals and now - self._recent_refusals[0] > _QUEUE_WINDOW_SECONDS:
+            self._recent_refusals.popleft()
+        self._recent_refusals.append(now)
         permits = sum(share.rate for share in self.held_shares(bounds).values())
         if permits > 0.0:
-            return min(_LONGEST_WAIT_SECONDS, len(self._waiting) / permits)
-        ahead = len(self._waiting) - 1
-        fair = self._fair_part(bounds)
+            return min(_MAX_RETRY_SECONDS, len(self._recent_refusals) / permits)
+        ahead = len(self._recent_refusals) - 1
+        fair = self._fair_rate(bounds)
         if not ahead or fair <= 0.0:
-            return _NO_PERMITS_SECONDS
-        return min(_LONGEST_WAIT_SECONDS, max(_NO_PERMITS_SECONDS, ahead / fair))
+            return _MIN_RETRY_SECONDS
+        return min(_MAX_RETRY_SECONDS, max(_MIN_RETRY_SECONDS, ahead / fair))
 
     def held_shares(self, bounds: Mapping[str, RateBound]) -> dict[str, RateShare]:
         """Return the shares of this instance in some targets, without those it has none of."""
         shares = {target: self._share(target, bound) for target, bound in bounds.items()}
         return {target: share for target, share in shares.items() if share is not None}
 
-    def _fair_part(self, bounds: Mapping[str, RateBound]) -> float:
+    def _fair_rate(self, bounds: Mapping[str, RateBound]) -> float:
         """Return the requests a second that fall to each instance, of what all may send."""
         count = len(self.members())
         if not count:
             return 0.0
-        shares = [share_of(bound, count, self.is_complete()) for bound in bounds.values()]
+        shares = [compute_share(bound, count, self.is_complete()) for bound in bounds.values()]
         return sum(share.rate * share.holders for share in shares) / count
 
     def _share(self, target: str, bound: RateBound) -> RateShare | None:
         """Return what this instance may send to a target, None if it is no holder."""
-        share, place = self._share_and_place(target, bound)
+        share, place = self._share_and_position(target, bound)
         return share if place < share.holders else None
 
-    def _share_and_place(self, target: str, bound: RateBound) -> tuple[RateShare, int]:
+    def _share_and_position(self, target: str, bound: RateBound) -> tuple[RateShare, int]:
         members, is_whole = frozenset(self.members()), self.is_complete()
-        is_changed = (members, is_whole) != (self._shared_by, self._shared_whole)
-        if is_changed or len(self._shares) > _MOST_BUCKETS:
+        is_changed = (members, is_whole) != (self._known_members, self._was_complete)
+        if is_changed or len(self._shares) > _MAX_BUCKETS:
             self._shares.clear()
-            self._shared_by, self._shared_whole = members, is_whole
+            self._known_members, self._was_complete = members, is_whole
         key = (target, bound)
         if key not in self._shares:
-            self._shares[key] = self._share_among(target, bound, members)
+            self._shares[key] = self._compute_share(target, bound, members)
         return self._shares[key]
 
-    def _share_among(
+    def _compute_share(
         self, target: str, bound: RateBound, members: frozenset[str]
     ) -> tuple[RateShare, int]:
         if self.name not in members:
             return _NO_SHARE, 0
-        share = share_of(bound, len(members), self._shared_whole)
+        share = compute_share(bound, len(members), self._was_complete)
         return share, rendezvous(target, members).index(self.name)
 
-    def _filled(self, target: str, bound: RateBound, now: float, silent: float) -> _Bucket | None:
-        share, place = self._share_and_place(target, bound)
-        rate, depth = share.rate, share.depth
+    def _refilled_bucket(
+        self, target: str, bound: RateBound, now: float, silent_seconds: float
+    ) -> _Bucket | None:
+        share, place = self._share_and_position(target, bound)
+        rate, depth = share.rate, share.burst
         if place >= share.holders:
-            if not self._has_turn(share, place, silent):
+            if not self._has_turn(share, place, silent_seconds):
                 return None
             rate, depth = min(rate, 1.0 / _SILENCE_SECONDS), 1.0
         bucket = self._buckets.get(target)
         if bucket is None:
             bucket = self._buckets[target] = _Bucket(now)
-            while len(self._buckets) > _MOST_BUCKETS:
+            while len(self._buckets) > _MAX_BUCKETS:
                 del self._buckets[next(iter(self._buckets))]
-        bucket.fill(rate, depth, now)
+        bucket.refill(rate, depth, now)
         return bucket
 
-    def _has_turn(self, share: RateShare, place: int, silent: float) -> bool:
+    def _has_turn(self, share: RateShare, position: int, silent_seconds: float) -> bool:
         """Whether an instance that is no holder may send to a target that is silent for long."""
-        others = len(self._shared_by) - share.holders
-        turn = int(silent / _SILENCE_SECONDS) - 1
-        return others > 0 and turn >= 0 and place - share.holders == turn % others
+        others = len(self._known_members) - share.holders
+        turn = int(silent_seconds / _SILENCE_SECONDS) - 1
+        return others > 0 and turn >= 0 and position - share.holders == turn % others
--- a/whinrack/dispatch/_stated_limits.py
+++ b/whinrack/dispatch/_stated_limits.py
@@ -15,7 +15,7 @@
 from whinrack.clock import steady
 from whinrack.dispatch._rate_bounds import RateBound
 
-__all__ = ["NO_LIMIT", "LimitChange", "LimitReport", "StatedLimits", "stated_bound"]
+__all__ = ["NO_LIMIT", "LimitChange", "LimitReport", "StatedLimits", "stated_rate_bound"]
 
 # Stands for the word of a target that states no limit.
 NO_LIMIT = math.inf
@@ -25,27 +25,27 @@
 _WINDOW_SECONDS = 4.0
 _OVERAGE = 1.5
 _SLACK = 5.0
-_USED_PART = 0.68
-_MOST_DEPTH = 1.25
+_UTILIZATION = 0.68
+_MAX_BURST = 1.25
 # A target that takes nothing, or hardly anything, is sent a request after so long all the same:
 # only its answer tells that the limit has ended.
-_LEAST_RATE = 0.2
+_MIN_RATE = 0.2
 # While others have room a limited target gets a request where it has said nothing for so long.
-_ASKED_AGAIN_SECONDS = 2.0
+_PROBE_INTERVAL_SECONDS = 2.0
 # A word that nobody heard again for so long says nothing any more, also that a limit has ended.
-_FORGET_SECONDS = 60.0
+_EXPIRY_SECONDS = 60.0
 # Targets whose words are kept, the latest ones: all of the largest fleet known, several times.
-_MOST_WORDS = 500
+_MAX_LIMITS = 500
 # Words in one heartbeat, some 50 bytes each. With more targets limited at once they take turns.
-_MOST_TOLD = 16
+_MAX_REPORTS_PER_HEARTBEAT = 16
 # A word that was only confirmed counts as told so often: news goes first.
-_TOLD_AS_CONFIRMED = 3
+_TIMES_SENT_IF_CONFIRMED = 3
 
 
-def stated_bound(rate: float) -> RateBound:
+def stated_rate_bound(rate: float) -> RateBound:
     """Return the bound of a target that states a limit, requests a second."""
     most = _OVERAGE * rate * _WINDOW_SECONDS + _SLACK
-    return RateBound(max(rate, _LEAST_RATE), most, _WINDOW_SECONDS, _USED_PART, _MOST_DEPTH, True)
+    return RateBound(max(rate, _MIN_RATE), most, _WINDOW_SECONDS, _UTILIZATION, _MAX_BURST, True)
 
 
 class LimitReport(msgspec.Struct, frozen=True, array_like=True):
@@ -68,7 +68,7 @@
     target: str
     rate: float
     observer: int
-    number: int
+    sequence: int
     age: float
 
 
@@ -97,20 +97,20 @@
     request: str = ""
 
 
-class _Known:
+class _KnownLimit:
     """The latest word of one target."""
 
-    def __init__(self, rate: float, at: float, hearer: int, number: int):
+    def __init__(self, rate: float, stated_at: float, observer: int, sequence: int):
         self.rate = rate
-        self.at = at
-        self.hearer = hearer
-        self.number = number
+        self.stated_at = stated_at
+        self.observer = observer
+        self.sequence = sequence
         # Heartbeats that have told it.
-        self.told = 0
+        self.times_sent = 0
 
-    def is_same(self, word: LimitReport) -> bool:
+    def is_same_observation(self, report: LimitReport) -> bool:
         """Whether a peer tells this very word."""
-        return (self.hearer, self.number) == (word.observer, word.number)
+        return (self.observer, self.sequence) == (report.observer, report.sequence)
 
 
 class StatedLimits:
@@ -132,32 +132,32 @@
     def __init__(self, run: str = "", clock: Callable[[], float] = steady):
         self.clock = clock
         self.on_change: list[Callable[[LimitChange], None]] = []
-        self._run = xxhash.xxh32_intdigest(run.encode())
-        self._number = 0
-        self._words: dict[str, _Known] = {}
+        self._observer = xxhash.xxh32_intdigest(run.encode())
+        self._sequence = 0
+        self._known: dict[str, _KnownLimit] = {}
 
     def rate(self, target: str) -> float:
         """Return the requests a second that a target takes, `NO_LIMIT` if it states none."""
-        known = self._words.get(target)
+        known = self._known.get(target)
         return NO_LIMIT if known is None else known.rate
 
     @property
     def is_empty(self) -> bool:
         """Whether no target has stated anything."""
-        return not self._words
+        return not self._known
 
     def limited_targets(self) -> list[str]:
         """Return the identities of the targets that state a limit."""
-        return [target for target, known in self._words.items() if known.rate != NO_LIMIT]
+        return [target for target, known in self._known.items() if known.rate != NO_LIMIT]
 
-    def silent(self, target: str) -> float:
+    def silent_seconds(self, target: str) -> float:
         """Return for how many seconds a target that states a limit has said nothing."""
-        known = self._words.get(target)
-        return 0.0 if known is None else max(0.0, self.clock() - known.at)
+        known = self._known.get(target)
+        return 0.0 if known is None else max(0.0, self.clock() - known.stated_at)
 
-    def asks_again(self, target: str) -> bool:
+    def is_probe_due(self, target: str) -> bool:
         """Whether a target that states a limit should be sent a request to learn if it holds."""
-        return self.silent(target) >= _ASKED_AGAIN_SECONDS
+        return self.silent_seconds(target) >= _PROBE_INTERVAL_SECONDS
 
     def record_answer(self, target: str, rate: float, sent_at: float, request: str = "") -> None:
         """Take in what an answer of a target said.
@@ -172,62 +172,74 @@
             # Confirmed by each answer, the end of a limit would go before a new limit that a peer
             # has heard meanwhile, and would be told for ever.
             return
-        known = self._words.get(target)
+        known = self._known.get(target)
         is_looser = known is not None and rate > known.rate
         at = sent_at if is_looser else self.clock()
-        if known is not None and at < known.at:
+        if known is not None and at < known.stated_at:
             return
-        self._number += 1
-        self._take(target, _Known(rate, at, self._run, self._number), "answer", request)
+        self._sequence += 1
+        self._store(
+            target, _KnownLimit(rate, at, self._observer, self._sequence), "answer", request
+        )
 
-    def merge_reports(self, words: Iterable[LimitReport], peer: str) -> None:
+    def merge_reports(self, reports: Iterable[LimitReport], peer: str) -> None:
         """Take in what a peer tells; the latest word of a target wins."""
-        for word in words:
-            if word.rate >= 0.0 and 0.0 <= word.age <= _FORGET_SECONDS:
-                self._learn(word, peer)
-
-    def _learn(self, word: LimitReport, peer: str) -> None:
-        at = self.clock() - word.age
-        known = self._words.get(word.target)
-        if known is not None and known.is_same(word):
+        for word in reports:
+            if word.rate >= 0.0 and 0.0 <= word.age <= _EXPIRY_SECONDS:
+                self._merge(word, peer)
+
+    def _merge(self, report: LimitReport, peer: str) -> None:
+        at = self.clock() - report.age
+        known = self._known.get(report.target)
+        if known is not None and known.is_same_observation(report):
             # The way from peer to peer makes a word look younger, never older.
-            known.at = min(known.at, at)
-        elif known is None or at > known.at:
-            self._take(word.target, _Known(word.rate, at, word.observer, word.number), peer)
+            known.stated_at = min(known.stated_at, at)
+        elif known is None or at > known.stated_at:
+            self._store(
+                report.target, _KnownLimit(report.rate, at, report.observer, report.sequence), peer
+            )
 
     def next_reports(self) -> list[LimitReport]:
         """Return some words for the next heartbeat, those told least often first."""
-        chosen = sorted(self._words.items(), key=lambda item: item[1].told)[:_MOST_TOLD]
+        chosen = sorted(self._known.items(), key=lambda item: item[1].times_sent)[
+            :_MAX_REPORTS_PER_HEARTBEAT
+        ]
         for _, known in chosen:
-            known.told += 1
+            known.times_sent += 1
         now = self.clock()
         return [
-            LimitReport(target, known.rate, known.hearer, known.number, round(now - known.at, 3))
+            LimitReport(
+                target, known.rate, known.observer, known.sequence, round(now - known.stated_at, 3)
+            )
             for target, known in chosen
         ]
 
     def drop_expired(self) -> None:
         """Drop the words that nobody heard again for long."""
         now = self.clock()
-        for target, known in list(self._words.items()):
-            if now - known.at > _FORGET_SECONDS:
-                del self._words[target]
+        for target, known in list(self._known.items()):
+            if now - known.stated_at > _EXPIRY_SECONDS:
+                del self._known[target]
                 if known.rate != NO_LIMIT:
-                    age = now - known.at
-                    self._tell(LimitChange(target, known.rate, NO_LIMIT, "silence", age))
-
-    def _take(self, target: str, word: _Known, source: str, request: str = "") -> None:
-        known = self._words.pop(target, None)
-        self._words[target] = word
-        while len(self._words) > _MOST_WORDS:
-            del self._words[next(iter(self._words))]
+                    age = now - known.stated_at
+                    self._notify(LimitChange(target, known.rate, NO_LIMIT, "silence", age))
+
+    def _store(self, target: str, limit: _KnownLimit, source: str, request: str = "") -> None:
+        known = self._known.pop(target, None)
+        self._known[target] = limit
+        while len(self._known) > _MAX_LIMITS:
+            del self._known[next(iter(self._known))]
         before = NO_LIMIT if known is None else known.rate
-        if word.rate == before:
-            word.told = _TOLD_AS_CONFIRMED if known is None else min(known.told, _TOLD_AS_CONFIRMED)
+        if limit.rate == before:
+            limit.times_sent = (
+                _TIMES_SENT_IF_CONFIRMED
+                if known is None
+                else min(known.times_sent, _TIMES_SENT_IF_CONFIRMED)
+            )
             return
-        age = max(0.0, self.clock() - word.at)
-        self._tell(LimitChange(target, before, word.rate, source, age, request))
+        age = max(0.0, self.clock() - limit.stated_at)
+        self._notify(LimitChange(target, before, limit.rate, source, age, request))
 
-    def _tell(self, change: LimitChange) -> None:
+    def _notify(self, change: LimitChange) -> None:
         for changed in self.on_change:
             changed(change)
--- a/whinrack/dispatch/_statements.py
+++ b/whinrack/dispatch/_statements.py
@@ -7,11 +7,11 @@
 from whinrack.dispatch._target_state import TargetState
 from whinrack.observability import Event, Metrics, log_event
 
-__all__ = ["StatementIntake", "TargetStatement"]
+__all__ = ["StatementHandler", "TargetStatement"]
 
 # Fields that are counted by their names, and logged once each; the others are counted together.
-_MOST_UNKNOWN_FIELDS = 20
-_LONGEST_FIELD_SHOWN = 60
+_MAX_UNKNOWN_FIELDS = 20
+_MAX_FIELD_LENGTH = 60
 _OTHER_FIELDS = "others"
 
 
@@ -46,7 +46,7 @@
     unknown_fields: tuple[str, ...] = ()
 
 
-class StatementIntake:
+class StatementHandler:
     """Takes in what targets state of themselves.
 
     Parameters
@@ -60,7 +60,7 @@
         self.metrics = metrics
         self._unknown: set[str] = set()
 
-    def hear(
+    def handle(
         self, state: TargetState, statement: TargetStatement, sent_at: float, request: str
     ) -> None:
         """Take in the statement of an answer.
@@ -85,15 +85,15 @@
                 state.record.identity, statement.rate_limit, sent_at, request
             )
         if statement.is_leaving:
-            self._hear_leaving(state, request)
+            self._handle_leaving(state, request)
         if statement.retry_after > 0.0:
-            self._hear_backoff(state, statement.retry_after, request)
+            self._handle_backoff(state, statement.retry_after, request)
 
     def _count_unknown(self, field: str, state: TargetState, request: str) -> None:
         """Show that targets state something that nothing here heeds."""
-        shown = field[:_LONGEST_FIELD_SHOWN]
+        shown = field[:_MAX_FIELD_LENGTH]
         if shown not in self._unknown:
-            if len(self._unknown) >= _MOST_UNKNOWN_FIELDS:
+            if len(self._unknown) >= _MAX_UNKNOWN_FIELDS:
                 self.metrics.unknown_statements.labels(_OTHER_FIELDS).inc()
                 return
             self._unknown.add(shown)
@@ -102,7 +102,7 @@
             )
         self.metrics.unknown_statements.labels(shown).inc()
 
-    def _hear_leaving(self, state: TargetState, request: str) -> None:
+    def _handle_leaving(self, state: TargetState, request: str) -> None:
         record = state.record
         if not self.registry.mark_leaving(record.incarnation, record.started):
             return
@@ -110,14 +110,14 @@
         for heard in self.registry.on_target_leaving:
             heard()
 
-    def _hear_backoff(self, state: TargetState, seconds: float, request: str) -> None:
+    def _handle_backoff(self, state: TargetState, seconds: float, request: str) -> None:
         record, now = state.record, self.registry.clock()
         self.registry.backoffs.start(record.identity, seconds, now)
         log_event(
             Event.TARGET_BACKOFF,
             target=record.incarnation,
             seconds=seconds,
-            left=round(self.registry.backoff_left(state, now), 3),
+            left=round(self.registry.backoff_seconds_left(state, now), 3),
             request=request,
             in_flight=state.in_flight,
         )
--- a/whinrack/dispatch/_values.py
+++ b/whinrack/dispatch/_values.py
@@ -70,7 +70,7 @@
     is_resumable: bool = False
 
     @property
-    def may_run_again(self) -> bool:
+    def can_run_again(self) -> bool:
         """Whether a request that may have run can be sent to another target."""
         return self.kind is RouteKind.REPEATABLE or self.is_resumable
 
@@ -174,7 +174,7 @@
         """Where it listens."""
         return self.host, self.port
 
-    def is_other_start(self, other: "TargetRecord") -> bool:
+    def is_different_start(self, other: "TargetRecord") -> bool:
         """Whether two records of one name are known to be of two starts."""
         return 0 not in (self.started, other.started) and self.started != other.started
 
--- a/whinrack/dispatch/tests/limited_fleet.py
+++ b/whinrack/dispatch/tests/limited_fleet.py
@@ -192,22 +192,22 @@
             if state is None:
                 self.refused += 1
                 continue
-            permit = registry.started(state)
-            if not registry.still_takes(state, None, permit):
-                registry.finished(state)
+            permit = registry.begin_request(state)
+            if not registry.can_still_send(state, None, permit):
+                registry.end_request(state)
                 continue
             target = self.targets[int(state.record.incarnation[1:])]
             self.environment.process(self._request(registry, state, target, instance.name))
 
     def _request(self, registry, state, target, sender):
         sent_at = self.now
-        state.unanswered += 1
+        state.unanswered_requests += 1
         until = self.held_up.get(sender, 0.0)
         if until > self.now:
             yield self.environment.timeout(until - self.now)
         target.times.append(self.now)
         stated = target.limit
         yield self.environment.timeout(self.answer_seconds * self.random.uniform(0.5, 1.5))
-        state.unanswered -= 1
+        state.unanswered_requests -= 1
         registry.stated_limits.record_answer(state.record.identity, stated, sent_at)
-        registry.finished(state)
+        registry.end_request(state)
--- a/whinrack/dispatch/tests/test_last_words.py
+++ b/whinrack/dispatch/tests/test_abandoned_runs.py
@@ -5,8 +5,8 @@
 import pytest
 
 from whinrack.dispatch import DeclaredTokens, EngineCapacity, PoolRecord, TargetStatement
-from whinrack.dispatch._abandoned_runs import settle_by_last_words
-from whinrack.dispatch._request_run import Run
+from whinrack.dispatch._abandoned_runs import settle_abandoned_run
+from whinrack.dispatch._request_run import RequestRun
 from whinrack.exceptions import AnswerCut, AttemptTimeout
 from whinrack.http1 import ResponseHead
 
@@ -60,7 +60,9 @@
         deadline_seconds=1.0,
         resume_after=None,
     )
-    run = Run(SimpleNamespace(arrived=0.0), request, None, SimpleNamespace(timeout=1.0), None)
+    run = RequestRun(
+        SimpleNamespace(arrived=0.0), request, None, SimpleNamespace(timeout=1.0), None
+    )
     run.reservation = Cover()
     run.attempts, run.may_have_run, run.events, run.last_id = 1, True, 3, 3
     return run
@@ -68,7 +70,7 @@
 
 def settle(run, connection, answered=True, heard=None):
     hear = [].append if heard is None else heard.append
-    settle_by_last_words(run, POOL, connection, Dialect(), hear, answered)
+    settle_abandoned_run(run, POOL, connection, Dialect(), hear, answered)
     assert connection.finished_sending
     return run.reservation.billed
 
--- a/whinrack/dispatch/tests/test_patience.py
+++ b/whinrack/dispatch/tests/test_answer_times.py
@@ -14,8 +14,8 @@
 
 def test_nothing_is_known_before_the_first_answer():
     times = AnswerTimes()
-    assert times.suspicious_after(SERVICE) == 1.5
-    assert times.suspicious_after(ENGINES) == 3.0
+    assert times.silence_timeout(SERVICE) == 1.5
+    assert times.silence_timeout(ENGINES) == 3.0
 
 
 @pytest.mark.parametrize(
@@ -26,7 +26,7 @@
     times = AnswerTimes()
     for _ in range(10):
         times.observe(pool.name, usual)
-    assert times.suspicious_after(pool) == pytest.approx(seconds)
+    assert times.silence_timeout(pool) == pytest.approx(seconds)
 
 
 def test_one_slow_answer_changes_little():
@@ -34,17 +34,17 @@
     for _ in range(50):
         times.observe("app", 0.05)
     times.observe("app", 1.0)
-    assert times.suspicious_after(SERVICE) < 0.6
+    assert times.silence_timeout(SERVICE) < 0.6
 
 
 def test_a_few_streams_are_passed_on_at_once():
-    pacing = StreamPacing(cores=2.0, longest=0.06)
+    pacing = StreamPacing(cores=2.0, max_pause=0.06)
     pacing.open_streams = 20
     assert pacing.pause() == 0.0
 
 
 def test_the_more_streams_for_a_core_the_longer_events_are_collected():
-    pacing = StreamPacing(cores=0.5, longest=0.06)
+    pacing = StreamPacing(cores=0.5, max_pause=0.06)
     pacing.open_streams = 20
     assert pacing.pause() == pytest.approx(0.032)
     pacing.open_streams = 200
@@ -52,12 +52,12 @@
 
 
 def test_an_instance_without_a_bound_collects_nothing():
-    pacing = StreamPacing(cores=0.5, longest=0.0)
+    pacing = StreamPacing(cores=0.5, max_pause=0.0)
     pacing.open_streams = 200
     assert pacing.pause() == 0.0
 
 
 def test_ended_streams_count_no_more():
-    pacing = StreamPacing(cores=0.5, longest=0.0)
-    assert list(pacing.space([b"a", b"b"])) == [b"a", b"b"]
+    pacing = StreamPacing(cores=0.5, max_pause=0.0)
+    assert list(pacing.paced([b"a", b"b"])) == [b"a", b"b"]
     assert pacing.open_streams == 0
--- a/whinrack/dispatch/tests/test_choice_and_send.py
+++ b/whinrack/dispatch/tests/test_choice_and_send.py
@@ -19,7 +19,7 @@
     TargetsView,
     WeightedPool,
 )
-from whinrack.dispatch._request_run import Run
+from whinrack.dispatch._request_run import RequestRun
 from whinrack.exceptions import TargetUnavailable
 from whinrack.http1 import Exchange, RequestHead, ServerLimits
 from whinrack.observability import Metrics
@@ -75,7 +75,7 @@
     )
     configuration = Configuration(1, [route], [PoolRecord("p", 0)], [], ServerLimits())
     exchange = Exchange(None, RequestHead(b"GET", b"/x", []), b"")
-    return Run(exchange, request, configuration, route, None)
+    return RequestRun(exchange, request, configuration, route, None)
 
 
 def test_a_target_that_leaves_while_its_connection_is_waited_for_gets_nothing(run):
@@ -115,7 +115,7 @@
     registry.put(TargetRecord("t1", "p", "h", 1))
     registry.stated_limits.record_answer("t1", 1.0, sent_at=steady())
     (state,) = registry.targets_in_pool("p")
-    assert registry.still_takes(state, None, permit_until=None)
-    assert not registry.still_takes(state, None, permit_until=None)
-    assert not registry.still_takes(state, None, permit_until=steady() - 0.1)
-    assert registry.still_takes(state, None, permit_until=steady() + 0.1)
+    assert registry.can_still_send(state, None, permit_until=None)
+    assert not registry.can_still_send(state, None, permit_until=None)
+    assert not registry.can_still_send(state, None, permit_until=steady() - 0.1)
+    assert registry.can_still_send(state, None, permit_until=steady() + 0.1)
--- a/whinrack/dispatch/tests/test_warmth.py
+++ b/whinrack/dispatch/tests/test_cold_targets.py
@@ -11,7 +11,7 @@
     TargetRegistry,
     WarmUpLimits,
 )
-from whinrack.dispatch._refusals import why_nobody
+from whinrack.dispatch._refusals import pool_refusal
 
 COLD = ColdStart(seconds=3.0, rate=4.0)
 LIMITS = WarmUpLimits(1.5, 5.0)
@@ -55,16 +55,16 @@
 
     def send(self, rank=0):
         """Choose a target as a request does; returns its name."""
-        state = self.targets.choose("p", "", (), self.now, cold_start=COLD, rank=rank)
+        state = self.targets.choose("p", "", (), self.now, cold_start=COLD, priority=rank)
         if state is None:
             return None
-        self.targets.started(state, COLD)
+        self.targets.begin_request(state, COLD)
         return state.record.incarnation
 
     def finish_all(self):
         for state in self.targets.targets_in_pool("p"):
             while state.in_flight:
-                self.targets.finished(state)
+                self.targets.end_request(state)
 
 
 def test_a_target_is_cold_as_long_as_its_word_says_from_when_that_came():
@@ -96,7 +96,7 @@
 
 def test_an_unreachable_target_is_cold_until_its_record_would_have_lapsed_and_it_had_started():
     world = World("a")
-    world.state("a").unreachable(world.now)
+    world.state("a").record_unreachable(world.now)
     world.now += 6.9
     assert world.cold() == {"a"}
     world.now += 0.2
@@ -105,9 +105,9 @@
 
 def test_one_that_answers_after_it_was_unreachable_may_have_started_just_now():
     world = World("a")
-    world.state("a").unreachable(world.now)
+    world.state("a").record_unreachable(world.now)
     world.now += 20.0
-    world.state("a").answered(world.now)
+    world.state("a").record_answer(world.now)
     assert world.cold() == {"a"}
     world.now += 3.1
     assert world.cold() == set()
@@ -115,7 +115,7 @@
 
 def test_a_word_from_before_the_end_does_not_make_it_warm():
     world = World("a")
-    world.state("a").unreachable(world.now)
+    world.state("a").record_unreachable(world.now)
     world.now += 0.5
     world.say("a", 0.0)
     assert world.cold() == {"a"}
@@ -165,7 +165,7 @@
         world.now += 0.1
     # Used is 3.5 a second of the 4 that it bears.
     assert 16 <= sent <= 19
-    wait = why_nobody(world.targets, PoolRecord("p", 0, cold_start=COLD), world.now).retry_after
+    wait = pool_refusal(world.targets, PoolRecord("p", 0, cold_start=COLD), world.now).retry_after
     assert 0.0 < wait <= 5.0
 
 
--- a/whinrack/dispatch/tests/test_target_ends.py
+++ b/whinrack/dispatch/tests/test_crash_detector.py
@@ -7,7 +7,7 @@
 
 from whinrack.clock import steady
 from whinrack.dispatch import TargetRecord, TargetRegistry
-from whinrack.dispatch._target_ends import Presence, TargetEnds, probe_address
+from whinrack.dispatch._crash_detector import CrashDetector, Presence, probe_address
 from whinrack.quarantine import RequestSignature, RunGuard, TargetEnd
 
 REQUESTS = [RequestSignature(f"f{number}", "w", "r") for number in range(3)]
@@ -32,7 +32,7 @@
         self.asked = []
         self.guard = Guard()
         self.registry = TargetRegistry()
-        self.ends = TargetEnds(self.registry, self.guard, self.probe_address)
+        self.ends = CrashDetector(self.registry, self.guard, self.probe_address)
         self.registry.put(RECORD)
         (self.state,) = self.registry.targets_in_pool("p")
 
@@ -42,7 +42,7 @@
 
     def cut(self, meanwhile=lambda: None, seconds=0.5):
         for request in REQUESTS:
-            self.ends.cut(self.state, request)
+            self.ends.record_cut(self.state, request)
         eventlet.sleep(0.1)
         meanwhile()
         eventlet.sleep(seconds)
@@ -87,16 +87,16 @@
 
 
 def test_a_target_that_refuses_connections_and_goes_on_with_others_has_not_ended(world):
-    world.registry.started(world.state)
+    world.registry.begin_request(world.state)
     assert world.cut() == []
-    world.registry.finished(world.state)
+    world.registry.end_request(world.state)
     eventlet.sleep(0.5)
     assert len(world.guard.ends) == 1
 
 
 def test_a_target_that_ended_gets_no_more_for_a_while(world):
     world.cut()
-    assert not world.state.takes_work(steady())
+    assert not world.state.is_available(steady())
 
 
 def test_a_target_that_said_that_it_leaves_ends_as_planned(world):
@@ -112,11 +112,11 @@
 
 def test_a_silent_address_whose_record_lapses_tells_it_too(world):
     world.presence = Presence.UNKNOWN
-    world.registry.started(world.state)
+    world.registry.begin_request(world.state)
     assert len(world.cut(lambda: world.registry.remove("t"))) == 1
 
 
 def test_a_target_that_is_there_and_whose_record_goes_leaves_as_planned(world):
     world.presence = Presence.HERE
-    world.registry.started(world.state)
+    world.registry.begin_request(world.state)
     assert world.cut(lambda: world.registry.remove("t")) == []
--- a/whinrack/dispatch/tests/test_decisions.py
+++ b/whinrack/dispatch/tests/test_decisions.py
@@ -59,10 +59,10 @@
 
 def test_keys_name_their_workspace_and_public_routes_need_none():
     config = configuration()
-    assert config.identify(route("r", "/"), "k2").name == "w"
-    assert config.identify(route("r", "/", public=True), "") is None
+    assert config.authenticate(route("r", "/"), "k2").name == "w"
+    assert config.authenticate(route("r", "/", public=True), "") is None
     with pytest.raises(Unauthorized):
-        config.identify(route("r", "/"), "k3")
+        config.authenticate(route("r", "/"), "k3")
 
 
 def test_versions_only_rise():
@@ -96,7 +96,7 @@
 
 def test_the_least_loaded_target_is_chosen():
     targets = registry("a", "b")
-    targets.started(targets.choose("p", "", ("b",), 0.0))
+    targets.begin_request(targets.choose("p", "", ("b",), 0.0))
     assert choose(targets) == "b"
 
 
@@ -106,7 +106,7 @@
     loads = []
     for _ in range(30):
         state = targets.choose("p", "prefix", (), 0.0)
-        targets.started(state)
+        targets.begin_request(state)
         loads.append({s.record.incarnation: s.in_flight for s in targets.targets_in_pool("p")})
     assert loads[1][home] == 2
     assert all(max(load.values()) <= 1.25 * sum(load.values()) / 3 + 3 for load in loads)
@@ -120,7 +120,7 @@
 
 
 def choose_shared(targets, affinity=""):
-    return targets.choose("p", affinity, (), 0.0, shares_loads=True).record.incarnation
+    return targets.choose("p", affinity, (), 0.0, uses_remote_loads=True).record.incarnation
 
 
 def test_requests_of_other_instances_count_where_loads_are_shared():
@@ -153,15 +153,15 @@
     for count in (5, 3):
         targets.remote_loads.update("m2", {state.digest: count}, 0.0)
     targets.remote_loads.update("m3", {state.digest: 1}, 1.0)
-    assert targets.remote_loads.at(state.digest) == 4
+    assert targets.remote_loads.requests_at(state.digest) == 4
     targets.remote_loads.update("m3", {}, 2.0)
-    assert targets.remote_loads.at(state.digest) == 0
+    assert targets.remote_loads.requests_at(state.digest) == 0
 
 
 def test_an_instance_tells_its_requests_in_flight():
     targets = registry("a", "b")
     state = targets.choose("p", "", ("b",), 0.0)
-    targets.started(state)
+    targets.begin_request(state)
     assert targets.requests_by_target() == {state.digest: 1}
 
 
@@ -191,8 +191,8 @@
     (gone,) = [s for s in targets.targets_in_pool("p") if s.record.incarnation == "a"]
     gone.ejection.record_unreachable(0.0)
     assert {choose(targets, now=0.1) for _ in range(9)} == {"b"}
-    assert not targets.has_other("p", {"b"}, 0.1)
-    assert targets.has_other("p", {"a"}, 0.1)
+    assert not targets.has_eligible_target("p", {"b"}, 0.1)
+    assert targets.has_eligible_target("p", {"a"}, 0.1)
 
 
 def test_a_target_that_is_set_aside_is_better_than_none():
@@ -205,14 +205,14 @@
 def test_no_more_requests_go_to_a_target_than_its_connections_allow():
     targets = registry("a", "b")
     for _ in range(4):
-        targets.started(targets.choose("p", "", (), 0.0, 2))
+        targets.begin_request(targets.choose("p", "", (), 0.0, 2))
     assert [state.in_flight for state in targets.targets_in_pool("p")] == [2, 2]
     assert targets.choose("p", "", (), 0.0, 2) is None
 
 
 def test_a_full_target_rests_but_is_better_than_none():
     targets = registry("a")
-    targets.busy(targets.targets_in_pool("p")[0], 0.0)
+    targets.mark_busy(targets.targets_in_pool("p")[0], 0.0)
     assert choose(targets) == "a"
 
 
--- a/whinrack/dispatch/tests/test_halls.py
+++ b/whinrack/dispatch/tests/test_emptied_halls.py
@@ -3,7 +3,7 @@
 import itertools
 
 from whinrack.dispatch import EmptiedHalls, HallStatus, PoolRecord, TargetRecord, TargetRegistry
-from whinrack.dispatch._refusals import BUSY_RETRY_SECONDS, why_nobody
+from whinrack.dispatch._refusals import BUSY_RETRY_SECONDS, pool_refusal
 
 WORDS = (
     HallStatus("z", 5, True),
@@ -62,7 +62,7 @@
     assert targets.update_hall(HallStatus("z", 2, True))
     chosen = {targets.choose("p", f"k{n}", (), 0.0).record.incarnation for n in range(20)}
     assert chosen == {"b"}
-    assert not targets.has_other("p", {"b"}, 0.0)
+    assert not targets.has_eligible_target("p", {"b"}, 0.0)
     targets.update_hall(HallStatus("y", 3, True))
     assert targets.choose("p", "", (), 0.0) is None
 
@@ -72,19 +72,19 @@
     pool = PoolRecord("p", 0)
     targets.clock = lambda: 10.0
     targets.update_hall(HallStatus("z", 2, True))
-    assert why_nobody(targets, pool, 15.0).retry_after == BUSY_RETRY_SECONDS
+    assert pool_refusal(targets, pool, 15.0).retry_after == BUSY_RETRY_SECONDS
     targets.clock = lambda: 12.0
     targets.update_hall(HallStatus("y", 3, True))
-    assert why_nobody(targets, pool, 15.0).retry_after == 3.0
-    assert why_nobody(targets, pool, 12.1).retry_after == 1.0
+    assert pool_refusal(targets, pool, 15.0).retry_after == 3.0
+    assert pool_refusal(targets, pool, 12.1).retry_after == 1.0
     targets.update_hall(HallStatus("z", 4, False))
-    assert why_nobody(targets, pool, 15.0).retry_after == BUSY_RETRY_SECONDS
+    assert pool_refusal(targets, pool, 15.0).retry_after == BUSY_RETRY_SECONDS
 
 
 def test_a_target_whose_hall_is_emptied_after_the_choice_may_be_sent_nothing():
     targets = registry(a="z", b="y")
     state = targets.choose("p", "", {"b"}, 0.0)
     targets.update_hall(HallStatus("z", 2, True))
-    assert not targets.may_be_sent(state, 0.0)
+    assert not targets.is_eligible(state, 0.0)
     targets.update_hall(HallStatus("z", 2, False))
-    assert targets.may_be_sent(state, 0.0)
+    assert targets.is_eligible(state, 0.0)
--- a/whinrack/dispatch/tests/test_placement.py
+++ b/whinrack/dispatch/tests/test_engine_choice.py
@@ -9,12 +9,12 @@
 import pytest
 
 from whinrack.dispatch import TargetRecord, TargetRegistry
-from whinrack.dispatch._engine_choice import EngineLoad, PromptNeed, choose_engine
-from whinrack.dispatch._target_state import Reading
+from whinrack.dispatch._engine_choice import EngineBacklog, PromptSize, choose_engine
+from whinrack.dispatch._target_state import PendingPrompt
 
 
 def engine(name, unread=0, requests=0, slots=32):
-    return EngineLoad(name, unread, requests, slots)
+    return EngineBacklog(name, unread, requests, slots)
 
 
 def test_the_engine_with_the_least_to_read_is_chosen():
@@ -44,7 +44,7 @@
     first, second = targets.targets_in_pool("p")
     targets.remote_loads.update("m2", {first.digest: 1}, 0.0, {first.digest: 40_000})
     chosen = {
-        targets.choose("p", "", (), 0.0, shares_loads=True, prompt=PromptNeed(100)).address
+        targets.choose("p", "", (), 0.0, uses_remote_loads=True, prompt=PromptSize(100)).address
         for _ in range(10)
     }
     assert chosen == {second.address}
@@ -52,11 +52,11 @@
 
 def test_a_prompt_counts_until_it_is_read_and_once_only():
     (state,) = registry(1).targets_in_pool("p")
-    reading, other = Reading(state, 700), Reading(state, 50)
-    reading.end()
-    reading.end()
+    reading, other = PendingPrompt(state, 700), PendingPrompt(state, 50)
+    reading.finish()
+    reading.finish()
     assert state.unread_tokens == 50
-    other.end()
+    other.finish()
     assert state.unread_tokens == 0
 
 
@@ -140,10 +140,10 @@
 
     def _arrive(self, now, prompt, instance):
         targets = self.registries[instance]
-        need = PromptNeed(prompt.tokens, prompt.shared) if self.by_work else None
-        state = targets.choose("p", str(prompt.thing), (), now, shares_loads=True, prompt=need)
-        targets.started(state)
-        reading = Reading(state, prompt.tokens)
+        need = PromptSize(prompt.tokens, prompt.shared) if self.by_work else None
+        state = targets.choose("p", str(prompt.thing), (), now, uses_remote_loads=True, prompt=need)
+        targets.begin_request(state)
+        reading = PendingPrompt(state, prompt.tokens)
         number = state.record.port
         unread = prompt.tokens - (prompt.shared if prompt.thing in self.held[number] else 0)
         self.held[number].add(prompt.thing)
@@ -151,8 +151,8 @@
         self.free_at[number] = read
         first = read + self.FIRST_TOKEN
         self.waited[prompt.is_long].append(first - now)
-        self._at(first, lambda _: reading.end())
-        self._at(first + self.ANSWER, lambda _: targets.finished(state))
+        self._at(first, lambda _: reading.finish())
+        self._at(first + self.ANSWER, lambda _: targets.end_request(state))
 
     def _tell(self, now, instance):
         told = self.registries[instance]
--- a/whinrack/dispatch/tests/test_shared_rates.py
+++ b/whinrack/dispatch/tests/test_shared_rates.py
@@ -5,7 +5,7 @@
 import pytest
 
 from whinrack.dispatch import SharedRatePermits, WarmUpLimits
-from whinrack.dispatch._rate_bounds import share_of
+from whinrack.dispatch._rate_bounds import compute_share
 
 LIMITS = WarmUpLimits(1.5, 5.0)
 RATES = (1.0, 4.0, 9.9, 30.0, 100.0)
@@ -105,6 +105,6 @@
     ("limits", "rate"), [(WarmUpLimits(1.0, 0.0), 10.0), (WarmUpLimits(), 0.5)]
 )
 def test_a_bound_without_slack_leaves_one_holder(limits, rate):
-    share = share_of(limits.rate_bound(rate), 10)
+    share = compute_share(limits.rate_bound(rate), 10)
     assert share.holders == 1
     assert 2 * (share.rate + 1) <= max(limits.rate_bound(rate).max_requests, 2.0)
--- a/whinrack/dispatch/tests/test_statements.py
+++ b/whinrack/dispatch/tests/test_statements.py
@@ -10,8 +10,8 @@
     TargetRegistry,
     TargetStatement,
 )
-from whinrack.dispatch._refusals import BUSY_RETRY_SECONDS, target_full, why_nobody
-from whinrack.dispatch._statements import StatementIntake
+from whinrack.dispatch._refusals import BUSY_RETRY_SECONDS, pool_refusal, target_full_refusal
+from whinrack.dispatch._statements import StatementHandler
 from whinrack.observability import Metrics
 
 POOL = PoolRecord("p", 0)
@@ -27,7 +27,7 @@
         self.registry = TargetRegistry(seed=1, clock=lambda: self.now)
         self.registry.on_target_leaving.append(self.count_spread)
         self.metrics = Metrics()
-        self.intake = StatementIntake(self.registry, self.metrics)
+        self.intake = StatementHandler(self.registry, self.metrics)
         self.put("a", started=5)
         self.put("b", started=5)
 
@@ -42,8 +42,8 @@
         states = self.registry.targets_in_pool("p")
         return next(state for state in states if state.record.incarnation == name)
 
-    def hear(self, name, statement):
-        self.intake.hear(self.state(name), statement, self.now, "r1")
+    def handle(self, name, statement):
+        self.intake.handle(self.state(name), statement, self.now, "r1")
 
     def chosen(self):
         """Return the names of all targets that requests go to."""
@@ -57,7 +57,7 @@
 
 
 def test_a_target_that_says_that_it_leaves_gets_nothing_though_its_record_says_ready(world):
-    world.hear("a", LEAVING)
+    world.handle("a", LEAVING)
     assert world.chosen() == {"b"}
     assert not world.put("a", started=5)
     world.registry.replace_all([TargetRecord("a", "p", "h", 1, started=5)])
@@ -65,20 +65,20 @@
 
 
 def test_its_leaving_is_told_to_peers_at_once_and_once(world):
-    world.hear("a", LEAVING)
-    world.hear("a", LEAVING)
+    world.handle("a", LEAVING)
+    world.handle("a", LEAVING)
     assert world.spread == 1
     assert [record.incarnation for record in world.registry.leaving_records()] == ["a"]
 
 
 def test_an_answer_without_the_word_does_not_take_it_back(world):
-    world.hear("a", LEAVING)
-    world.hear("a", TargetStatement())
+    world.handle("a", LEAVING)
+    world.handle("a", TargetStatement())
     assert world.chosen() == {"b"}
 
 
 def test_it_stays_out_of_use_when_its_record_goes_and_comes_back(world):
-    world.hear("a", LEAVING)
+    world.handle("a", LEAVING)
     world.registry.remove("a")
     world.put("a", started=5)
     assert world.chosen() == {"b"}
@@ -86,7 +86,7 @@
 
 def test_also_where_its_start_became_known_after_its_word(world):
     world.put("c", started=0)
-    world.hear("c", LEAVING)
+    world.handle("c", LEAVING)
     world.put("c", started=9)
     world.registry.remove("c")
     world.put("c", started=9)
@@ -95,14 +95,14 @@
 
 def test_a_later_start_is_in_use_and_a_late_answer_of_the_earlier_one_changes_nothing(world):
     earlier = world.state("a")
-    world.hear("a", LEAVING)
+    world.handle("a", LEAVING)
     world.put("a", started=6)
-    world.intake.hear(earlier, LEAVING, world.now, "r2")
+    world.intake.handle(earlier, LEAVING, world.now, "r2")
     assert world.chosen() == {"a", "b"}
 
 
 def test_what_another_target_at_its_address_states_is_not_its_own(world):
-    world.hear("a", TargetStatement(is_misdirected=True, did_not_run=True, is_leaving=True))
+    world.handle("a", TargetStatement(is_misdirected=True, did_not_run=True, is_leaving=True))
     assert world.chosen() == {"a", "b"}
 
 
@@ -110,7 +110,7 @@
     for number in range(3):
         world.put(f"t{number}", started=1)
     for number in (2, 0, 1):
-        world.hear(f"t{number}", LEAVING)
+        world.handle(f"t{number}", LEAVING)
     told = [record.incarnation for record in world.registry.leaving_records()]
     assert told == ["t2", "t0", "t1"]
 
@@ -120,27 +120,27 @@
 
 
 def test_a_target_that_tells_to_back_off_gets_nothing_until_the_time_is_over(world):
-    world.hear("a", backoff(3.0))
+    world.handle("a", backoff(3.0))
     world.now += 2.99
     assert world.chosen() == {"b"}
-    assert not world.registry.has_other("p", {"b@5"}, world.now)
+    assert not world.registry.has_eligible_target("p", {"b@5"}, world.now)
     world.now += 0.01
     assert world.chosen() == {"a", "b"}
 
 
 def test_a_shorter_back_off_does_not_shorten_the_one_before(world):
-    world.hear("a", backoff(3.0))
+    world.handle("a", backoff(3.0))
     world.now += 1.0
-    world.hear("a", backoff(0.5))
+    world.handle("a", backoff(0.5))
     world.now += 1.9
     assert world.chosen() == {"b"}
-    world.hear("a", backoff(1.0))
+    world.handle("a", backoff(1.0))
     world.now += 0.9
     assert world.chosen() == {"b"}
 
 
 def test_a_back_off_outlives_a_record_that_goes_and_comes_back_and_ends_with_the_start(world):
-    world.hear("a", backoff(30.0))
+    world.handle("a", backoff(30.0))
     world.registry.remove("a")
     world.put("a", started=5)
     assert world.chosen() == {"b"}
@@ -149,7 +149,7 @@
 
 
 def test_a_target_that_names_a_huge_time_is_in_use_again_after_an_hour(world):
-    world.hear("a", backoff(1e12))
+    world.handle("a", backoff(1e12))
     world.now += 3599.0
     assert world.chosen() == {"b"}
     world.now += 2.0
@@ -158,53 +158,53 @@
 
 def test_a_request_that_was_chosen_before_the_word_is_not_sent_after_it(world):
     state = world.state("a")
-    world.hear("a", backoff(3.0))
-    assert not world.registry.still_takes(state, None, permit_until=None)
+    world.handle("a", backoff(3.0))
+    assert not world.registry.can_still_send(state, None, permit_until=None)
     world.now += 3.0
-    assert world.registry.still_takes(state, None, permit_until=None)
+    assert world.registry.can_still_send(state, None, permit_until=None)
 
 
 def test_a_limited_target_is_not_asked_in_a_back_off_whether_the_limit_holds(world):
-    world.hear("a", TargetStatement(did_not_run=True, rate_limit=1.0, retry_after=30.0))
+    world.handle("a", TargetStatement(did_not_run=True, rate_limit=1.0, retry_after=30.0))
     world.now += 10.0
-    assert world.registry.stated_limits.asks_again("a@5")
+    assert world.registry.stated_limits.is_probe_due("a@5")
     assert world.chosen() == {"b"}
 
 
 def test_callers_come_back_when_the_first_back_off_ends(world):
-    world.hear("a", backoff(3.0))
-    assert why_nobody(world.registry, POOL, world.now).retry_after == BUSY_RETRY_SECONDS
-    assert target_full(world.registry, POOL, world.now).retry_after == BUSY_RETRY_SECONDS
-    world.hear("b", backoff(5.0))
+    world.handle("a", backoff(3.0))
+    assert pool_refusal(world.registry, POOL, world.now).retry_after == BUSY_RETRY_SECONDS
+    assert target_full_refusal(world.registry, POOL, world.now).retry_after == BUSY_RETRY_SECONDS
+    world.handle("b", backoff(5.0))
     world.now += 1.0
-    refusal = why_nobody(world.registry, POOL, world.now)
+    refusal = pool_refusal(world.registry, POOL, world.now)
     assert (refusal.code, refusal.retry_after) == ("targets_overloaded", 2.0)
-    assert target_full(world.registry, POOL, world.now).retry_after == 2.0
+    assert target_full_refusal(world.registry, POOL, world.now).retry_after == 2.0
 
 
 def test_where_some_targets_are_backed_off_from_and_the_others_are_cold_the_sooner_counts(world):
     cold = PoolRecord("p", 0, cold_start=ColdStart(seconds=100.0, rate=0.0))
     for name in ("a", "b"):
         world.put(name, started=6)
-        world.state(name).cold_state.told(100.0, world.now)
-    world.hear("a", backoff(0.125))
-    refusal = why_nobody(world.registry, cold, world.now)
+        world.state(name).cold_state.update(100.0, world.now)
+    world.handle("a", backoff(0.125))
+    refusal = pool_refusal(world.registry, cold, world.now)
     assert (refusal.code, refusal.retry_after) == ("targets_cold", 0.125)
 
 
 def test_where_the_other_targets_are_in_emptied_halls_the_back_off_counts(world):
     world.registry.put(TargetRecord("c", "p", "h", 1, data_hall="z"))
     world.registry.update_hall(HallStatus("z", 2, True))
-    world.hear("a", backoff(3.0))
-    world.hear("b", backoff(4.0))
-    assert why_nobody(world.registry, POOL, world.now).retry_after == 3.0
+    world.handle("a", backoff(3.0))
+    world.handle("b", backoff(4.0))
+    assert pool_refusal(world.registry, POOL, world.now).retry_after == 3.0
     assert world.registry.choose("p", "", (), world.now) is None
 
 
 def test_fields_that_are_not_known_are_counted_by_name_and_no_more_than_some_of_them(world):
     names = [f"new-{number}" for number in range(25)]
-    world.hear("a", TargetStatement(unknown_fields=tuple(names)))
-    world.hear("a", TargetStatement(unknown_fields=("new-0", "new-24")))
+    world.handle("a", TargetStatement(unknown_fields=tuple(names)))
+    world.handle("a", TargetStatement(unknown_fields=("new-0", "new-24")))
     text = world.metrics.render().decode()
     counted = [line for line in text.splitlines() if "unknown_statements_total{" in line]
     assert len(counted) == 21
--- a/whinrack/dispatch/tests/test_starts.py
+++ b/whinrack/dispatch/tests/test_target_starts.py
@@ -68,7 +68,7 @@
     assert chosen(registry, tried=["other@5"]) == 5
     registry.put(record(6))
     (current,) = [one for one in registry.targets_in_pool("p") if one.record.incarnation == "t"]
-    assert current.takes_work(NOW)
+    assert current.is_available(NOW)
 
 
 def test_it_is_not_among_the_tried(registry):
@@ -91,29 +91,29 @@
 def test_requests_at_the_earlier_one_do_not_count_at_it(registry):
     registry.put(record(5))
     (before,) = registry.targets_in_pool("p")
-    registry.started(before)
+    registry.begin_request(before)
     registry.put(record(6))
     (after,) = registry.targets_in_pool("p")
     assert after.in_flight == 0
-    registry.finished(before)
+    registry.end_request(before)
     assert chosen(registry) == 6
 
 
 def test_the_end_of_the_earlier_one_is_told(registry):
     ended = []
-    registry.ended.append(ended.append)
+    registry.on_target_replaced.append(ended.append)
     registry.put(record(5))
     (before,) = registry.targets_in_pool("p")
     registry.put(record(6))
     assert ended == [before]
-    assert before.leaving
+    assert before.is_leaving
 
 
 def test_what_is_learnt_at_the_address_of_the_earlier_one_takes_nothing_from_the_later(registry):
     registry.put(record(5))
     (before,) = registry.targets_in_pool("p")
     registry.put(record(6, port=2))
-    registry.not_at_its_address(before)
+    registry.remove_misdirected(before)
     assert chosen(registry) == 6
 
 
@@ -121,17 +121,17 @@
 def test_whether_the_earlier_one_ended_as_planned_is_what_it_said(registry, planned):
     registry.put(record(5))
     (before,) = registry.targets_in_pool("p")
-    registry.started(before)
+    registry.begin_request(before)
     if planned:
         registry.mark_leaving("t", 5)
     registry.remove("t")
     registry.put(record(6))
-    assert before.replaced is not planned
+    assert before.is_replaced is not planned
 
 
 def test_a_record_of_another_name_with_its_address_takes_nothing_from_it(registry):
     ended = []
-    registry.ended.append(ended.append)
+    registry.on_target_replaced.append(ended.append)
     registry.put(record(5))
     registry.put(record(6, name="u"))
     assert ended == []
