--- a/whinrack/dispatch/_abandoned_runs.py
+++ b/whinrack/dispatch/_abandoned_runs.py
@@ -40,18 +40,18 @@
         The head of the answer has been read.
     """
     connection.finish_sending()
-    end = steady() + _END_WAIT_SECONDS
+    deadline = steady() + _END_WAIT_SECONDS
     try:
         if not has_head:
             head = connection.read_head(
-                end, lambda headers: dialect.is_response_to(run.request, headers)
+                deadline, lambda headers: dialect.is_response_to(run.request, headers)
             )
             statement = dialect.parse_statement(head)
             on_statement(statement)
             if statement.did_not_run:
                 run.may_have_run = run.attempts > 1
                 return
-        for block in event_blocks(connection.pieces(end), run.last_id):
+        for block in event_blocks(connection.pieces(deadline), run.last_id):
             run.events += block.count
     except AnswerCut:
         if not connection.ended:
--- a/whinrack/dispatch/_answer_times.py
+++ b/whinrack/dispatch/_answer_times.py
@@ -22,11 +22,11 @@
 
     def observe(self, pool: str, seconds: float) -> None:
         """Learn how long an answer took to begin."""
-        usual = self._averages.get(pool, seconds)
-        self._averages[pool] = usual + _WEIGHT * (seconds - usual)
+        average = self._averages.get(pool, seconds)
+        self._averages[pool] = average + _WEIGHT * (seconds - average)
 
     def silence_timeout(self, pool: PoolRecord) -> float:
         """Return the seconds of silence after which a target is suspected."""
-        least, most = _SERVICE_BOUNDS if pool.engine is None else _ENGINE_BOUNDS
-        usual = self._averages.get(pool.name)
-        return most if usual is None else min(most, max(least, _FACTOR * usual))
+        shortest, longest = _SERVICE_BOUNDS if pool.engine is None else _ENGINE_BOUNDS
+        average = self._averages.get(pool.name)
+        return longest if average is None else min(longest, max(shortest, _FACTOR * average))
--- a/whinrack/dispatch/_attempts.py
+++ b/whinrack/dispatch/_attempts.py
@@ -133,7 +133,7 @@
         now = steady()
         if pool is None:
             raise NoTargetAvailable(no_target_refusal())
-        most = self._max_in_flight(pool)
+        max_in_flight = self._max_in_flight(pool)
         has_engines = pool.engine is not None
         prompt = run.prompt if has_engines else None
         state = self.registry.choose(
@@ -141,7 +141,7 @@
             run.affinity,
             run.tried_targets,
             now,
-            most,
+            max_in_flight,
             uses_remote_loads=has_engines,
             prompt=prompt,
             cold_start=pool.cold_start,
@@ -190,24 +190,26 @@
         run.attempts += 1
         may_have_run_before = run.may_have_run
         run.may_have_run = True
-        began, answered = steady(), False
-        run.sent_at, run.concurrent_requests = began, state.in_flight - 1
-        patience = self.answer_times.silence_timeout(pool)
-        has_another = self._can_try_another(run, pool, began)
-        head_end = min(run.deadline, began + patience) if has_another else run.deadline
+        sent_at, has_head = steady(), False
+        run.sent_at, run.concurrent_requests = sent_at, state.in_flight - 1
+        silence_timeout = self.answer_times.silence_timeout(pool)
+        can_try_another = self._can_try_another(run, pool, sent_at)
+        head_deadline = (
+            min(run.deadline, sent_at + silence_timeout) if can_try_another else run.deadline
+        )
 
-        def hear(statement: TargetStatement) -> None:
-            self.statements.handle(state, statement, began, run.request_id)
+        def on_statement(statement: TargetStatement) -> None:
+            self.statements.handle(state, statement, sent_at, run.request_id)
 
         try:
-            head = self._send_and_read_head(run, state, connection, head_end)
-            self.answer_times.observe(pool.name, steady() - began)
+            head = self._send_and_read_head(run, state, connection, head_deadline)
+            self.answer_times.observe(pool.name, steady() - sent_at)
             statement = self.dialect.parse_statement(head)
-            hear(statement)
+            on_statement(statement)
             if statement.did_not_run:
                 run.may_have_run = may_have_run_before
                 self._handle_target_refusal(pool, state, statement)
-            answered = True
+            has_head = True
             state.record_answer(steady())
             self._relay_answer(run, pool, connection, head)
             if head.status < _SERVER_ERROR:
@@ -217,27 +219,27 @@
             self.crash_detector.record_cut(state, run.request_name)
             raise AttemptFailed(failure, was_sent=True) from failure
         except AttemptTimeout as failure:
-            self._suspect_silence(state, began, answered, patience)
+            self._suspect_silence(state, sent_at, has_head, silence_timeout)
             raise AttemptFailed(failure, was_sent=True) from failure
         except CallerGone:
-            self._suspect_silence(state, began, answered, patience)
+            self._suspect_silence(state, sent_at, has_head, silence_timeout)
             # Nobody waits for an answer here, so there is time to learn what was made.
             if run.reservation is not None and run.may_have_run:
-                settle_abandoned_run(run, pool, connection, self.dialect, hear, answered)
+                settle_abandoned_run(run, pool, connection, self.dialect, on_statement, has_head)
             raise
         finally:
             self.record_traffic(_REQUESTS, state.record.data_hall, connection.sent_bytes)
             self.record_traffic(_ANSWERS, state.record.data_hall, connection.received_bytes)
 
     def _send_and_read_head(
-        self, run: RequestRun, state: TargetState, connection: TargetConnection, end: float
+        self, run: RequestRun, state: TargetState, connection: TargetConnection, deadline: float
     ) -> ResponseHead:
         """Send the request and wait for the head of its answer."""
         state.unanswered_requests += 1
         try:
             self._send(run, state, connection)
             return connection.read_head(
-                end, lambda headers: self.dialect.is_response_to(run.request, headers)
+                deadline, lambda headers: self.dialect.is_response_to(run.request, headers)
             )
         finally:
             state.unanswered_requests -= 1
@@ -258,11 +260,11 @@
         return self.registry.has_eligible_target(pool.name, run.tried_targets, now, pool.cold_start)
 
     def _suspect_silence(
-        self, state: TargetState, began: float, answered: bool, patience: float
+        self, state: TargetState, sent_at: float, has_head: bool, silence_timeout: float
     ) -> None:
         """Count a target that was silent for long as failing; short waits tell nothing."""
         now = steady()
-        if not answered and now - began >= patience:
+        if not has_head and now - sent_at >= silence_timeout:
             state.ejection.record_failure(now)
 
     def _send(self, run: RequestRun, state: TargetState, connection: TargetConnection) -> None:
@@ -305,8 +307,8 @@
         self, run: RequestRun, pool: PoolRecord, head: ResponseHead
     ) -> None:
         """Try another target after a target's own failure, where that is allowed."""
-        has_other = self.registry.has_eligible_target(
+        has_other_target = self.registry.has_eligible_target(
             pool.name, run.tried_targets, steady(), pool.cold_start
         )
-        if run.attempts < run.route.max_attempts and has_other:
+        if run.attempts < run.route.max_attempts and has_other_target:
             raise AnswerCut(f"the target answered {head.status}")
--- a/whinrack/dispatch/_crash_detector.py
+++ b/whinrack/dispatch/_crash_detector.py
@@ -82,8 +82,10 @@
             self._cut_requests[state].append(request)
             return
         self._cut_requests[state] = [request]
-        known = self.registry.identities_at_address(state.address) | {state.record.identity}
-        eventlet.spawn_n(self._investigate, state, known, steady())
+        known_identities = self.registry.identities_at_address(state.address) | {
+            state.record.identity
+        }
+        eventlet.spawn_n(self._investigate, state, known_identities, steady())
 
     def _investigate(self, state: TargetState, known_identities: set[str], cut_at: float) -> None:
         eventlet.sleep(_PROBE_DELAY_SECONDS)
@@ -114,7 +116,7 @@
         return presence
 
     def _recheck(
-        self, state: TargetState, before: Presence, known_identities: set[str]
+        self, state: TargetState, previous: Presence, known_identities: set[str]
     ) -> Presence:
         """Look for later signs of an end; an instance that was asleep sees only these.
 
@@ -126,8 +128,8 @@
             or self.registry.identities_at_address(state.address) - known_identities
         ):
             return Presence.ENDED
-        if before is Presence.HERE:
-            return before
+        if previous is Presence.HERE:
+            return previous
         if state.is_removed:
             return Presence.ENDED
         return self._presence(state)
--- a/whinrack/dispatch/_dispatcher.py
+++ b/whinrack/dispatch/_dispatcher.py
@@ -74,7 +74,7 @@
     dialect : Dialect
     current_configuration : Directory
     registry : TargetRegistry
-    keeper : GrantKeeper
+    grant_manager : GrantKeeper
     connections : ConnectionPool
     metrics : Metrics
     options : DispatchOptions
@@ -93,7 +93,7 @@
         dialect: Dialect,
         current_configuration: CurrentConfiguration,
         registry: TargetRegistry,
-        keeper: GrantManager,
+        grant_manager: GrantManager,
         connections: ConnectionPool,
         metrics: Metrics,
         options: DispatchOptions,
@@ -104,7 +104,7 @@
     ):
         self.dialect = dialect
         self.current_configuration = current_configuration
-        self.keeper = keeper
+        self.grant_manager = grant_manager
         self.metrics = metrics
         self.instance_count = instance_count
         self.requests_in_progress = 0
@@ -184,29 +184,29 @@
         declared = run.request.declared_tokens
         if declared is None or run.workspace is None:
             return
-        if not self.keeper.has_limit(run.workspace.name):
+        if not self.grant_manager.has_limit(run.workspace.name):
             return
-        cover = self.keeper.cover(run.workspace.name, declared.total)
-        if isinstance(cover, Failure):
-            log_reservation_refused(run, declared.total, self.keeper)
-            raise cover.failure()
-        run.reservation = cover.unwrap()
+        reservation = self.grant_manager.cover(run.workspace.name, declared.total)
+        if isinstance(reservation, Failure):
+            log_reservation_refused(run, declared.total, self.grant_manager)
+            raise reservation.failure()
+        run.reservation = reservation.unwrap()
 
     # --- attempts ----------------------------------------------------------------
 
     def _attempt_all(self, run: RequestRun) -> None:
         pool = self._choose_pool(run.route)
-        allowance = self.retry_budgets.for_pool(pool)
-        allowance.record_request(steady())
-        unreached = 0
+        retry_budget = self.retry_budgets.for_pool(pool)
+        retry_budget.record_request(steady())
+        unsent_attempts = 0
         while True:
             try:
                 self.attempt_runner.attempt(run, pool)
                 return
             except AttemptFailed as failed:
-                unreached += not failed.was_sent
+                unsent_attempts += not failed.was_sent
                 log_attempt(run, failed.refusal)
-                if not self._can_retry(run, failed, unreached, allowance):
+                if not self._can_retry(run, failed, unsent_attempts, retry_budget):
                     raise self._final_refusal(run, failed.refusal) from failed
                 self._check_quarantine_again(run)
 
@@ -218,11 +218,11 @@
             raise self._final_refusal(run, refusal) from refusal
 
     def _choose_pool(self, route: Route) -> str:
-        shares = route.weighted_pools
-        if len(shares) == 1:
-            return shares[0].pool
-        weights = [share.weight for share in shares]
-        return random.choices(shares, weights)[0].pool
+        weighted_pools = route.weighted_pools
+        if len(weighted_pools) == 1:
+            return weighted_pools[0].pool
+        weights = [weighted_pool.weight for weighted_pool in weighted_pools]
+        return random.choices(weighted_pools, weights)[0].pool
 
     def _can_retry(
         self,
@@ -260,9 +260,9 @@
     def _refuse(
         self, exchange: Exchange, request: IncomingRequest | None, refusal: Refusal
     ) -> None:
-        label = request.request_id.decode("latin-1") if request is not None else ""
+        request_id = request.request_id.decode("latin-1") if request is not None else ""
         self.metrics.refusals.labels(refusal.code).inc()
-        log_refusal(exchange, label, refusal, self.current_configuration.version)
+        log_refusal(exchange, request_id, refusal, self.current_configuration.version)
         if exchange.started:
             # The exchange is left without an end: the connection is closed.
             return
--- a/whinrack/dispatch/_emptied_halls.py
+++ b/whinrack/dispatch/_emptied_halls.py
@@ -71,9 +71,9 @@
             Of the list; words that are later than it are not touched.
         """
         return [
-            HallStatus(word.hall, word.version, is_emptied=False)
-            for word in self._statuses.values()
-            if word.is_emptied and word.hall not in listed and word.version <= revision
+            HallStatus(status.hall, status.version, is_emptied=False)
+            for status in self._statuses.values()
+            if status.is_emptied and status.hall not in listed and status.version <= revision
         ]
 
     def statuses(self) -> list[HallStatus]:
@@ -82,9 +82,9 @@
 
     def _drop_oldest(self) -> None:
         """Drop the oldest words on halls that are in use again."""
-        back = sorted(
-            (word for word in self._statuses.values() if not word.is_emptied),
-            key=lambda word: word.version,
+        released = sorted(
+            (status for status in self._statuses.values() if not status.is_emptied),
+            key=lambda status: status.version,
         )
-        for word in back[: max(0, len(self._statuses) - _MAX_STATUSES)]:
-            del self._statuses[word.hall]
+        for status in released[: max(0, len(self._statuses) - _MAX_STATUSES)]:
+            del self._statuses[status.hall]
--- a/whinrack/dispatch/_rate_bounds.py
+++ b/whinrack/dispatch/_rate_bounds.py
@@ -27,7 +27,7 @@
     ----------
     rate : float
         Requests a second that it takes.
-    most : float
+    max_requests : float
         Requests that may reach it in any window.
     window : float
         Seconds.
@@ -63,8 +63,8 @@
 
     def rate_bound(self, rate: float) -> RateBound:
         """Return the bound of a target that bears some requests a second."""
-        most = rate * self.overage + self.slack
-        return RateBound(rate, most, 1.0, _WARM_UP_UTILIZATION, _WARM_UP_BURST)
+        max_requests = rate * self.overage + self.slack
+        return RateBound(rate, max_requests, 1.0, _WARM_UP_UTILIZATION, _WARM_UP_BURST)
 
 
 class RateShare(msgspec.Struct, frozen=True):
@@ -76,7 +76,7 @@
         Instances that may send to it.
     rate : float
         Requests a second of each.
-    depth : float
+    burst : float
         Permits that each may save up; with a single one what comes just before it is turned away
         and the rate goes unused until the next request.
     """
@@ -101,11 +101,11 @@
         return _share_of_complete_fleet(bound, members)
     half = bound.max_requests / _MAX_PARTITIONS
     spare = half - bound.utilization * bound.rate * bound.window_seconds
-    most_holders = max(_MIN_HOLDERS, int(bound.rate / _RATE_PER_HOLDER))
-    holders = max(1, min(most_holders, int(spare), members))
-    depth = min(bound.max_burst, max(1.0, spare / holders))
-    used = min(bound.rate, max(0.0, (half - holders * depth) / bound.window_seconds))
-    return RateShare(holders, used / holders, depth)
+    max_holders = max(_MIN_HOLDERS, int(bound.rate / _RATE_PER_HOLDER))
+    holders = max(1, min(max_holders, int(spare), members))
+    burst = min(bound.max_burst, max(1.0, spare / holders))
+    used = min(bound.rate, max(0.0, (half - holders * burst) / bound.window_seconds))
+    return RateShare(holders, used / holders, burst)
 
 
 def _share_of_complete_fleet(bound: RateBound, members: int) -> RateShare:
@@ -116,5 +116,5 @@
     """
     spare = bound.max_requests - bound.rate * bound.window_seconds
     holders = max(1, min(int(spare / 2.0), members))
-    depth = min(bound.max_burst, max(1.0, spare / holders - 1.0))
-    return RateShare(holders, bound.rate / holders, depth)
+    burst = min(bound.max_burst, max(1.0, spare / holders - 1.0))
+    return RateShare(holders, bound.rate / holders, burst)
--- a/whinrack/dispatch/_rate_limiter.py
+++ b/whinrack/dispatch/_rate_limiter.py
@@ -46,10 +46,10 @@
     ) -> RateBound | None:
         """Return what a target takes from all instances, None if nothing bounds it."""
         stated = self.stated_limits.rate(state.record.identity)
-        cold = state.is_cold(cold_start, now)
+        is_cold = state.is_cold(cold_start, now)
         if stated == NO_LIMIT:
-            return self.warm_up_limits.rate_bound(cold_start.rate) if cold else None
-        if cold and cold_start.rate < stated:
+            return self.warm_up_limits.rate_bound(cold_start.rate) if is_cold else None
+        if is_cold and cold_start.rate < stated:
             return self.warm_up_limits.rate_bound(cold_start.rate)
         return stated_rate_bound(stated)
 
@@ -71,8 +71,8 @@
         if bound is None:
             return True
         target = state.record.identity
-        most = self.rate_permits.max_unanswered(target, bound)
-        if self.has_stated_limit(state) and state.unanswered_requests >= most:
+        max_unanswered = self.rate_permits.max_unanswered(target, bound)
+        if self.has_stated_limit(state) and state.unanswered_requests >= max_unanswered:
             return False
         return self.rate_permits.has_permit(
             target, bound, now, self.stated_limits.silent_seconds(target)
--- a/whinrack/dispatch/_refusals.py
+++ b/whinrack/dispatch/_refusals.py
@@ -33,8 +33,8 @@
 
 def target_full_refusal(registry: TargetRegistry, pool: PoolRecord, now: float) -> Refusal:
     """Return the refusal of a request that a target has turned away."""
-    others_take_work = registry.has_eligible_target(pool.name, (), now, pool.cold_start)
-    wait = BUSY_RETRY_SECONDS if others_take_work else pool_refusal(registry, pool, now).retry_after
+    has_other_target = registry.has_eligible_target(pool.name, (), now, pool.cold_start)
+    wait = BUSY_RETRY_SECONDS if has_other_target else pool_refusal(registry, pool, now).retry_after
     return TargetUnavailable("the target is full", retry_after=wait)
 
 
@@ -46,25 +46,25 @@
         for state in states
         if registry.is_in_service(state)
     ]
-    first_end = min((left for left in backoffs if left), default=None)
-    few = _rate_limited_refusal(registry, pool, now)
-    if few is not None:
+    first_end = min((seconds for seconds in backoffs if seconds), default=None)
+    limited = _rate_limited_refusal(registry, pool, now)
+    if limited is not None:
         if first_end is not None:
-            few.retry_after = min(few.retry_after, first_end)
-        return few
+            limited.retry_after = min(limited.retry_after, first_end)
+        return limited
     if backoffs and all(backoffs):
         return TargetsOverloaded(
             "all targets told this instance to back off", retry_after=first_end
         )
     if states and all(state.is_leaving for state in states):
         return no_target_refusal(_LEAVING_RETRY_SECONDS)
-    emptied = _emptied_seconds(registry, pool, now)
-    if emptied is None:
+    emptied_seconds = _emptied_seconds(registry, pool, now)
+    if emptied_seconds is None:
         return no_target_refusal()
     # What has lasted for so long lasts for as long again: a caller that comes back once, after
     # 0.25 s, finds the hall emptied still.
-    least, most = _EMPTIED_RETRY_BOUNDS
-    return no_target_refusal(min(most, max(least, emptied)))
+    shortest, longest = _EMPTIED_RETRY_BOUNDS
+    return no_target_refusal(min(longest, max(shortest, emptied_seconds)))
 
 
 def _rate_limited_refusal(registry: TargetRegistry, pool: PoolRecord, now: float) -> Refusal | None:
@@ -72,15 +72,15 @@
 
     None if one of them takes more, or there is none.
     """
-    bearing, cold_start = registry.rate_limiter, pool.cold_start
+    limiter, cold_start = registry.rate_limiter, pool.cold_start
     states = [
         state for state in registry.targets_in_pool(pool.name) if registry.is_eligible(state, now)
     ]
-    bounds = {state.record.identity: bearing.rate_bound(state, cold_start, now) for state in states}
+    bounds = {state.record.identity: limiter.rate_bound(state, cold_start, now) for state in states}
     if not states or None in bounds.values():
         return None
     wait = registry.rate_permits.retry_delay(bounds, now)
-    only_cold = [state for state in states if not bearing.has_stated_limit(state)]
+    only_cold = [state for state in states if not limiter.has_stated_limit(state)]
     if only_cold:
         warm_at = min(state.cold_state.cold_until(cold_start.seconds) for state in only_cold)
         wait = min(warm_at - now, wait)
--- a/whinrack/dispatch/_registry.py
+++ b/whinrack/dispatch/_registry.py
@@ -91,8 +91,10 @@
     def replace_all(self, records: Collection[TargetRecord]) -> list[str]:
         """Take in a whole list; returns the incarnations that are new to leaving."""
         listed = {record.incarnation for record in records}
-        left = [name for name in list(self._targets) if name not in listed and self.remove(name)]
-        return left + [record.incarnation for record in records if self.put(record)]
+        newly_leaving = [
+            name for name in list(self._targets) if name not in listed and self.remove(name)
+        ]
+        return newly_leaving + [record.incarnation for record in records if self.put(record)]
 
     def put(self, record: TargetRecord) -> bool:
         """Take in one record; True if the target turned to leaving by it."""
@@ -150,8 +152,8 @@
         state.is_replaced = not (state.record.is_leaving or state.has_announced_leaving)
         state.is_removed = True
         self._drop(state)
-        for ended in self.on_target_replaced:
-            ended(state)
+        for callback in self.on_target_replaced:
+            callback(state)
 
     def remove_misdirected(self, state: TargetState) -> None:
         """Learn that another target answers at the address of one."""
--- a/whinrack/dispatch/_remote_loads.py
+++ b/whinrack/dispatch/_remote_loads.py
@@ -15,11 +15,11 @@
         self._by_instance: dict[str, dict[int, int]] = {}
         self._totals: Counter[int] = Counter()
 
-    def replace(self, instance: str, numbers: dict[int, int]) -> None:
+    def replace(self, instance: str, counts: dict[int, int]) -> None:
         self._totals.subtract(self._by_instance.pop(instance, {}))
-        if numbers:
-            self._by_instance[instance] = numbers
-            self._totals.update(numbers)
+        if counts:
+            self._by_instance[instance] = counts
+            self._totals.update(counts)
 
     def at(self, digest: int) -> int:
         return self._totals[digest]
@@ -46,9 +46,9 @@
         """Take in the requests in flight of one instance, and their unread tokens, by target."""
         self._replace(instance, counts, unread or {})
         self._updated_at[instance] = now
-        for silent in [name for name, at in self._updated_at.items() if now - at > _FRESH_SECONDS]:
-            self._replace(silent, {}, {})
-            del self._updated_at[silent]
+        for stale in [name for name, at in self._updated_at.items() if now - at > _FRESH_SECONDS]:
+            self._replace(stale, {}, {})
+            del self._updated_at[stale]
 
     def requests_at(self, digest: int) -> int:
         """Return the requests in flight of all others at a target."""
--- a/whinrack/dispatch/_request_run.py
+++ b/whinrack/dispatch/_request_run.py
@@ -180,9 +180,9 @@
             return
         declared = self.request.declared_tokens
         event_tokens = pool.engine.max_event_tokens if pool.engine is not None else 1
-        made = events * event_tokens
+        output_tokens = events * event_tokens
         if self.attempts > 1 and self.may_have_run:
             # An earlier target may have handed out events that never came here.
-            made += declared.output
-        self.billed_tokens = min(declared.total, declared.prompt + made)
+            output_tokens += declared.output
+        self.billed_tokens = min(declared.total, declared.prompt + output_tokens)
         self.reservation.settle(self.billed_tokens)
--- a/whinrack/dispatch/_retries.py
+++ b/whinrack/dispatch/_retries.py
@@ -76,11 +76,11 @@
 
     def for_pool(self, pool: str) -> RetryBudget:
         """Return the allowance of a pool."""
-        allowance = self._budgets.get(pool)
-        if allowance is None:
-            allowance = RetryBudget(self.ratio, self.slack, self.window)
-            self._budgets[pool] = allowance
-        return allowance
+        budget = self._budgets.get(pool)
+        if budget is None:
+            budget = RetryBudget(self.ratio, self.slack, self.window)
+            self._budgets[pool] = budget
+        return budget
 
     def set_limits(self, ratio: float, slack: float, window: float) -> None:
         """Put other limits in force; what was sent again so far goes on counting."""
--- a/whinrack/dispatch/_run_log.py
+++ b/whinrack/dispatch/_run_log.py
@@ -43,27 +43,27 @@
     )
 
 
-def log_reservation_refused(run: RequestRun, tokens: int, keeper: GrantManager) -> None:
+def log_reservation_refused(run: RequestRun, tokens: int, grant_manager: GrantManager) -> None:
     """Tell that tokens could not be set aside, and what was known of the budget."""
-    last = keeper.last_result(run.workspace_name)
+    last_result = grant_manager.last_result(run.workspace_name)
     log_event(
         Event.COVER_REFUSED,
         request=run.request_id,
         workspace=run.workspace_name,
         tokens=tokens,
-        free=last.free if last is not None else "unknown",
-        outstanding=last.outstanding if last is not None else "unknown",
-        supplier=keeper.supplier(run.workspace_name) or "here",
-        store_silent=round(steady() - keeper.last_answer_at, 3),
+        free=last_result.free if last_result is not None else "unknown",
+        outstanding=last_result.outstanding if last_result is not None else "unknown",
+        supplier=grant_manager.supplier(run.workspace_name) or "here",
+        store_silent=round(steady() - grant_manager.last_answer_at, 3),
     )
 
 
-def log_refusal(exchange: Exchange, label: str, refusal: Refusal, configuration: int) -> None:
+def log_refusal(exchange: Exchange, request_id: str, refusal: Refusal, configuration: int) -> None:
     """Tell how a request ended that got no target's answer, or only a part of one."""
     event = Event.ANSWER_BROKEN_OFF if exchange.started else Event.REQUEST_REFUSED
     log_event(
         event,
-        request=label,
+        request=request_id,
         code=refusal.code,
         attempts=refusal.attempts,
         waited=_waited(exchange),
--- a/whinrack/dispatch/_shared_rates.py
+++ b/whinrack/dispatch/_shared_rates.py
@@ -117,15 +117,16 @@
         share, _ = self._share_and_position(target, bound)
         if not share.holders:
             return 1
-        of_a_holder = (
+        requests_per_holder = (
             bound.max_requests / share.holders - share.burst - share.rate * bound.window_seconds
         )
-        return max(1, int(of_a_holder))
+        return max(1, int(requests_per_holder))
 
     def has_more_urgent_waiting(self, priority: int, now: float) -> bool:
         """Whether a request leaves the next permit to a more urgent one that is to come back."""
         return any(
-            other < priority and now - at < _YIELD_SECONDS for other, at in self._refused_at.items()
+            refused_priority < priority and now - at < _YIELD_SECONDS
+            for refused_priority, at in self._refused_at.items()
         )
 
     def record_refusal(self, priority: int, now: float) -> None:
@@ -148,10 +149,10 @@
         if permits > 0.0:
             return min(_MAX_RETRY_SECONDS, len(self._recent_refusals) / permits)
         ahead = len(self._recent_refusals) - 1
-        fair = self._fair_rate(bounds)
-        if not ahead or fair <= 0.0:
+        fair_rate = self._fair_rate(bounds)
+        if not ahead or fair_rate <= 0.0:
             return _MIN_RETRY_SECONDS
-        return min(_MAX_RETRY_SECONDS, max(_MIN_RETRY_SECONDS, ahead / fair))
+        return min(_MAX_RETRY_SECONDS, max(_MIN_RETRY_SECONDS, ahead / fair_rate))
 
     def held_shares(self, bounds: Mapping[str, RateBound]) -> dict[str, RateShare]:
         """Return the shares of this instance in some targets, without those it has none of."""
@@ -168,15 +169,15 @@
 
     def _share(self, target: str, bound: RateBound) -> RateShare | None:
         """Return what this instance may send to a target, None if it is no holder."""
-        share, place = self._share_and_position(target, bound)
-        return share if place < share.holders else None
+        share, position = self._share_and_position(target, bound)
+        return share if position < share.holders else None
 
     def _share_and_position(self, target: str, bound: RateBound) -> tuple[RateShare, int]:
-        members, is_whole = frozenset(self.members()), self.is_complete()
-        is_changed = (members, is_whole) != (self._known_members, self._was_complete)
+        members, is_complete = frozenset(self.members()), self.is_complete()
+        is_changed = (members, is_complete) != (self._known_members, self._was_complete)
         if is_changed or len(self._shares) > _MAX_BUCKETS:
             self._shares.clear()
-            self._known_members, self._was_complete = members, is_whole
+            self._known_members, self._was_complete = members, is_complete
         key = (target, bound)
         if key not in self._shares:
             self._shares[key] = self._compute_share(target, bound, members)
@@ -193,22 +194,22 @@
     def _refilled_bucket(
         self, target: str, bound: RateBound, now: float, silent_seconds: float
     ) -> _Bucket | None:
-        share, place = self._share_and_position(target, bound)
-        rate, depth = share.rate, share.burst
-        if place >= share.holders:
-            if not self._has_turn(share, place, silent_seconds):
+        share, position = self._share_and_position(target, bound)
+        rate, burst = share.rate, share.burst
+        if position >= share.holders:
+            if not self._has_turn(share, position, silent_seconds):
                 return None
-            rate, depth = min(rate, 1.0 / _SILENCE_SECONDS), 1.0
+            rate, burst = min(rate, 1.0 / _SILENCE_SECONDS), 1.0
         bucket = self._buckets.get(target)
         if bucket is None:
             bucket = self._buckets[target] = _Bucket(now)
             while len(self._buckets) > _MAX_BUCKETS:
                 del self._buckets[next(iter(self._buckets))]
-        bucket.refill(rate, depth, now)
+        bucket.refill(rate, burst, now)
         return bucket
 
     def _has_turn(self, share: RateShare, position: int, silent_seconds: float) -> bool:
         """Whether an instance that is no holder may send to a target that is silent for long."""
-        others = len(self._known_members) - share.holders
+        other_members = len(self._known_members) - share.holders
         turn = int(silent_seconds / _SILENCE_SECONDS) - 1
-        return others > 0 and turn >= 0 and position - share.holders == turn % others
+        return other_members > 0 and turn >= 0 and position - share.holders == turn % other_members
--- a/whinrack/dispatch/_stated_limits.py
+++ b/whinrack/dispatch/_stated_limits.py
@@ -44,8 +44,10 @@
 
 def stated_rate_bound(rate: float) -> RateBound:
     """Return the bound of a target that states a limit, requests a second."""
-    most = _OVERAGE * rate * _WINDOW_SECONDS + _SLACK
-    return RateBound(max(rate, _MIN_RATE), most, _WINDOW_SECONDS, _UTILIZATION, _MAX_BURST, True)
+    max_requests = _OVERAGE * rate * _WINDOW_SECONDS + _SLACK
+    return RateBound(
+        max(rate, _MIN_RATE), max_requests, _WINDOW_SECONDS, _UTILIZATION, _MAX_BURST, True
+    )
 
 
 class LimitReport(msgspec.Struct, frozen=True, array_like=True):
@@ -125,7 +127,7 @@
 
     Attributes
     ----------
-    changed : list of callable
+    callback : list of callable
         Called with each `LimitChange`.
     """
 
@@ -184,9 +186,9 @@
 
     def merge_reports(self, reports: Iterable[LimitReport], peer: str) -> None:
         """Take in what a peer tells; the latest word of a target wins."""
-        for word in reports:
-            if word.rate >= 0.0 and 0.0 <= word.age <= _EXPIRY_SECONDS:
-                self._merge(word, peer)
+        for report in reports:
+            if report.rate >= 0.0 and 0.0 <= report.age <= _EXPIRY_SECONDS:
+                self._merge(report, peer)
 
     def _merge(self, report: LimitReport, peer: str) -> None:
         at = self.clock() - report.age
@@ -241,5 +243,5 @@
         self._notify(LimitChange(target, before, limit.rate, source, age, request))
 
     def _notify(self, change: LimitChange) -> None:
-        for changed in self.on_change:
-            changed(change)
+        for callback in self.on_change:
+            callback(change)
--- a/whinrack/dispatch/_target_choice.py
+++ b/whinrack/dispatch/_target_choice.py
@@ -60,16 +60,16 @@
         states = self._within_rate_limits(states, cold_start, priority, now, load)
         if not states:
             return None
-        rested = [state for state in states if state.busy_until <= now] or states
-        home = self._by_affinity(rested, affinity, load) if affinity else None
-        if home is not None and prompt is None:
-            return home
+        not_busy = [state for state in states if state.busy_until <= now] or states
+        preferred = self._by_affinity(not_busy, affinity, load) if affinity else None
+        if preferred is not None and prompt is None:
+            return preferred
         if uses_remote_loads:
-            count = max(_MIN_SAMPLED, len(rested) // _SAMPLE_DIVISOR)
-            rested = self._random.sample(rested, min(count, len(rested)))
+            count = max(_MIN_SAMPLED, len(not_busy) // _SAMPLE_DIVISOR)
+            not_busy = self._random.sample(not_busy, min(count, len(not_busy)))
         if prompt is not None:
-            return self._choose_engine(home, rested, prompt)
-        return min(rested, key=lambda state: (load(state), self._random.random()))
+            return self._choose_engine(preferred, not_busy, prompt)
+        return min(not_busy, key=lambda state: (load(state), self._random.random()))
 
     def _within_rate_limits(
         self,
@@ -84,39 +84,39 @@
         Those that take few only where no other has a free slot, within what this instance may
         send to them; but one that states a limit is asked now and then whether that holds.
         """
-        bearing = self.rate_limiter
-        if bearing.is_pool_unlimited(cold_start):
+        limiter = self.rate_limiter
+        if limiter.is_pool_unlimited(cold_start):
             return states
-        free: list[TargetState] = []
-        few: list[TargetState] = []
+        unlimited: list[TargetState] = []
+        limited: list[TargetState] = []
         for state in states:
-            is_free = bearing.rate_bound(state, cold_start, now) is None
-            (free if is_free else few).append(state)
-        if not few:
-            return free
-        asked = [state for state in few if bearing.is_probe_due(state, cold_start, now)]
-        if asked and not bearing.rate_permits.has_more_urgent_waiting(priority, now):
-            return asked
-        if any(load(state) < state.record.slots for state in free):
-            return free
-        if not free and bearing.rate_permits.has_more_urgent_waiting(priority, now):
+            is_unlimited = limiter.rate_bound(state, cold_start, now) is None
+            (unlimited if is_unlimited else limited).append(state)
+        if not limited:
+            return unlimited
+        due_for_probe = [state for state in limited if limiter.is_probe_due(state, cold_start, now)]
+        if due_for_probe and not limiter.rate_permits.has_more_urgent_waiting(priority, now):
+            return due_for_probe
+        if any(load(state) < state.record.slots for state in unlimited):
+            return unlimited
+        if not unlimited and limiter.rate_permits.has_more_urgent_waiting(priority, now):
             return []
-        permitted = [state for state in few if bearing.can_send(state, cold_start, now)]
-        if not free and not permitted:
-            bearing.rate_permits.record_refusal(priority, now)
-        return permitted or free
+        permitted = [state for state in limited if limiter.can_send(state, cold_start, now)]
+        if not unlimited and not permitted:
+            limiter.rate_permits.record_refusal(priority, now)
+        return permitted or unlimited
 
     def _choose_engine(
-        self, home: TargetState | None, sampled: list[TargetState], prompt: PromptSize
+        self, preferred: TargetState | None, sampled: list[TargetState], prompt: PromptSize
     ) -> TargetState:
         """Return the engine that reads the prompt first, the one with its shared parts or not."""
         by_name = {state.record.incarnation: state for state in sampled}
-        loads = [self._engine_backlog(state) for state in sampled]
-        home_load = None
-        if home is not None:
-            by_name[home.record.incarnation] = home
-            home_load = self._engine_backlog(home)
-        return by_name[choose_engine(home_load, loads, prompt.shared_tokens).name]
+        backlogs = [self._engine_backlog(state) for state in sampled]
+        preferred_backlog = None
+        if preferred is not None:
+            by_name[preferred.record.incarnation] = preferred
+            preferred_backlog = self._engine_backlog(preferred)
+        return by_name[choose_engine(preferred_backlog, backlogs, prompt.shared_tokens).name]
 
     def _engine_backlog(self, state: TargetState) -> EngineBacklog:
         return EngineBacklog(
@@ -130,11 +130,11 @@
         self, states: list[TargetState], affinity: str, load: Callable[[TargetState], int]
     ) -> TargetState:
         mean = sum(map(load, states)) / len(states)
-        most = math.ceil(_MAX_IMBALANCE * mean) + _IMBALANCE_SLACK
+        max_load = math.ceil(_MAX_IMBALANCE * mean) + _IMBALANCE_SLACK
         by_name = {state.record.incarnation: state for state in states}
         for name in rendezvous(affinity, by_name):
             state = by_name[name]
-            if load(state) < max(most, _AFFINITY_SLOT_FRACTION * state.record.slots):
+            if load(state) < max(max_load, _AFFINITY_SLOT_FRACTION * state.record.slots):
                 return state
         return min(states, key=load)
 
