--- a/whinrack/dispatch/tests/limited_fleet.py
+++ b/whinrack/dispatch/tests/limited_fleet.py
@@ -1,4 +1,7 @@
-"""A fleet in simulated time before targets that state limits; every decision is the product's."""
+"""Simulation of a fleet with targets that state rate limits.
+
+Time and network are simulated; all decisions are taken by the code under test.
+"""
 
 import random
 
@@ -16,7 +19,7 @@
 
 _POOL = "p"
 _BEAT_SECONDS = 0.5
-# Heartbeats of a large fleet go to a few in turn.
+# Number of receivers of each heartbeat, as in a large fleet.
 _FANOUT = 6
 _NEWS_SECONDS = 0.02
 _REMEMBERED_SECONDS = 15.0
@@ -27,7 +30,7 @@
 
 
 def most_in_window(times, seconds=WINDOW_SECONDS):
-    """Return the most of some moments, in order, that lie within a window."""
+    """Return the maximum number of the sorted times that lie within one window."""
     most, first = 0, 0
     for last, at in enumerate(times):
         while at - times[first] >= seconds:
@@ -37,13 +40,14 @@
 
 
 class Target:
-    """Answers after a while, and states what it is set to state.
+    """A target that answers after a delay and states a configurable limit.
 
     Attributes
     ----------
     times : list of float
-        When requests arrived.
+        Times at which requests arrived.
     limit : float
+        Stated limit in requests per second.
     """
 
     def __init__(self, name, limit=NO_LIMIT):
@@ -53,7 +57,7 @@
 
 
 class Instance:
-    """One instance of the fleet: its registry, and whom it has heard."""
+    """One instance of the fleet: its registry and its view of the members."""
 
     def __init__(self, fleet, name):
         self.fleet = fleet
@@ -61,7 +65,7 @@
         self.start()
 
     def start(self):
-        """Start with nothing known but the list of targets."""
+        """Start or restart, knowing only the list of targets."""
         clock = lambda: self.fleet.now  # noqa: E731
         self.started_at = self.fleet.now
         self._members, self._counted_at = frozenset(), -1.0
@@ -75,14 +79,14 @@
             self.registry.put(TargetRecord(target.name, _POOL, "h", 1, slots=10_000))
 
     def members(self):
-        """Return whom this instance counts, as the product's view of the fleet does."""
+        """Return the members that this instance knows, as the real membership would."""
         if self.fleet.now - self._counted_at >= _LOOK_SECONDS:
             self._counted_at = self.fleet.now
             self._members = self._count()
         return self._members
 
     def is_whole(self):
-        """Return whether this instance or one that it hears misses nobody."""
+        """Return whether neither this instance nor one that it can reach misses a member."""
         fleet = self.fleet
         if not fleet.half or fleet.now - fleet.cut_at < _SILENT_SECONDS:
             return True
@@ -110,11 +114,11 @@
     Parameters
     ----------
     count : int
-        Instances.
+        Number of instances.
     limits : list of float
-        One target for each.
+        Stated limits, one target for each.
     demand : float
-        Requests a second that callers bring to each instance.
+        Requests per second from the callers of each instance.
     """
 
     def __init__(self, count, limits, demand, seed=1, answer_seconds=0.05):
@@ -123,10 +127,10 @@
         self.demand = demand
         self.answer_seconds = answer_seconds
         self.refused = 0
-        # One half of a cut; the other ones hear nothing of these.
+        # One side of a network partition.
         self.half = frozenset()
         self.cut_at = float("-inf")
-        # Until when what an instance sends is held up on the way.
+        # Time until which the requests of an instance are delayed in the network.
         self.held_up = {}
         self.targets = [Target(f"t{number}", limit) for number, limit in enumerate(limits)]
         self.names = [f"m{number}" for number in range(count)]
@@ -138,32 +142,32 @@
 
     @property
     def now(self):
-        """Simulated time, seconds."""
+        """Simulated time in seconds."""
         return self.environment.now
 
     def run(self, until):
-        """Go on to a moment."""
+        """Run the simulation up to a time."""
         self.environment.run(until=until)
 
     def cut(self, half):
-        """Part the fleet in two."""
+        """Partition the fleet."""
         self.half = frozenset(half)
         self.cut_at = self.now
 
     def heal(self):
-        """Let all hear each other again."""
+        """End the partition."""
         self.half = frozenset()
 
     def reaches(self, one, other):
-        """Whether messages get from one instance to another."""
+        """Return whether messages between two instances are delivered."""
         return (one in self.half) == (other in self.half)
 
     def since(self, moment):
-        """Return the arrivals at each target after a moment."""
+        """Return the arrival times at each target after a time."""
         return [[at for at in target.times if at > moment] for target in self.targets]
 
     def spread(self, instance):
-        """Tell some peers what has changed, a moment later."""
+        """Send an extra heartbeat shortly after a change."""
         self.environment.process(self._spread(instance))
 
     def _spread(self, instance):
--- a/whinrack/dispatch/tests/test_abandoned_runs.py
+++ b/whinrack/dispatch/tests/test_abandoned_runs.py
@@ -1,4 +1,4 @@
-"""What is billed for a stream whose caller has left."""
+"""Billing of streams whose caller has disconnected."""
 
 from types import SimpleNamespace
 
@@ -25,7 +25,7 @@
 
 
 class Connection:
-    """A target's side after the half-close: what still comes, and how it ends."""
+    """Stand-in for a connection after the half-close: the remaining data and how it ends."""
 
     def __init__(self, head=None, data=b"", failure=None, ended=True):
         self.head, self.data, self.failure, self.ended = head, data, failure, ended
@@ -75,16 +75,16 @@
     return run.reservation.billed
 
 
-def test_events_that_came_and_one_more_are_billed_where_the_target_ends(run):
+def test_received_events_and_one_more_are_billed_if_the_target_closes(run):
     cut = Connection(data=EVENTS, failure=AnswerCut("ended"), ended=True)
     assert settle(run, cut) == 100 + 5 * (3 + 2 + 1)
 
 
-def test_a_stream_that_comes_to_its_own_end_is_billed_the_same_way(run):
+def test_a_stream_that_ends_regularly_is_billed_the_same_way(run):
     assert settle(run, Connection(data=EVENTS)) == 100 + 5 * (3 + 2 + 1)
 
 
-def test_a_target_that_ends_before_its_head_is_billed_for_the_prompt(run):
+def test_the_prompt_and_one_event_are_billed_if_the_target_closes_before_the_head(run):
     run.events, run.last_id = 0, None
     gone = Connection(failure=AnswerCut("ended"), ended=True)
     assert settle(run, gone, answered=False) == 100 + 5
@@ -93,11 +93,11 @@
 @pytest.mark.parametrize(
     ("failure", "ended"), [(AnswerCut("reset"), False), (AttemptTimeout("silent"), False)]
 )
-def test_a_reset_or_silence_tells_nothing(run, failure, ended):
+def test_a_reset_or_silence_leaves_the_run_unsettled(run, failure, ended):
     assert settle(run, Connection(failure=failure, ended=ended)) is None
 
 
-def test_a_target_that_says_it_did_not_run_is_believed(run):
+def test_a_request_that_the_target_did_not_run_is_not_billed(run):
     refused = Connection(head=ResponseHead(503, []))
     heard = []
     assert settle(run, refused, answered=False, heard=heard) is None
@@ -105,6 +105,6 @@
     assert heard == [TargetStatement(did_not_run=True)]
 
 
-def test_no_more_than_the_cover_is_billed(run):
+def test_no_more_than_the_reservation_is_billed(run):
     run.events = 1000
     assert settle(run, Connection(failure=AnswerCut("ended"), ended=True)) == 300
--- a/whinrack/dispatch/tests/test_answer_times.py
+++ b/whinrack/dispatch/tests/test_answer_times.py
@@ -1,4 +1,4 @@
-"""When a silent target is suspected, and how events of many streams are collected."""
+"""Silence timeouts of targets, and pacing of many streams."""
 
 import pytest
 
@@ -12,7 +12,7 @@
 )
 
 
-def test_nothing_is_known_before_the_first_answer():
+def test_the_timeout_is_the_maximum_before_the_first_answer():
     times = AnswerTimes()
     assert times.silence_timeout(SERVICE) == 1.5
     assert times.silence_timeout(ENGINES) == 3.0
@@ -22,14 +22,14 @@
     ("usual", "pool", "seconds"),
     [(0.005, SERVICE, 0.15), (0.05, SERVICE, 0.3), (9.0, SERVICE, 1.5), (0.05, ENGINES, 1.0)],
 )
-def test_silence_is_judged_by_the_usual_answer_time_of_the_pool(usual, pool, seconds):
+def test_the_timeout_follows_the_usual_answer_time_of_the_pool(usual, pool, seconds):
     times = AnswerTimes()
     for _ in range(10):
         times.observe(pool.name, usual)
     assert times.silence_timeout(pool) == pytest.approx(seconds)
 
 
-def test_one_slow_answer_changes_little():
+def test_one_slow_answer_has_little_effect():
     times = AnswerTimes()
     for _ in range(50):
         times.observe("app", 0.05)
@@ -37,13 +37,13 @@
     assert times.silence_timeout(SERVICE) < 0.6
 
 
-def test_a_few_streams_are_passed_on_at_once():
+def test_a_few_streams_are_not_delayed():
     pacing = StreamPacing(cores=2.0, max_pause=0.06)
     pacing.open_streams = 20
     assert pacing.pause() == 0.0
 
 
-def test_the_more_streams_for_a_core_the_longer_events_are_collected():
+def test_the_pause_grows_with_the_streams_per_core():
     pacing = StreamPacing(cores=0.5, max_pause=0.06)
     pacing.open_streams = 20
     assert pacing.pause() == pytest.approx(0.032)
@@ -51,13 +51,13 @@
     assert pacing.pause() == 0.06
 
 
-def test_an_instance_without_a_bound_collects_nothing():
+def test_there_is_no_pause_without_a_maximum():
     pacing = StreamPacing(cores=0.5, max_pause=0.0)
     pacing.open_streams = 200
     assert pacing.pause() == 0.0
 
 
-def test_ended_streams_count_no_more():
+def test_ended_streams_no_longer_count():
     pacing = StreamPacing(cores=0.5, max_pause=0.0)
     assert list(pacing.paced([b"a", b"b"])) == [b"a", b"b"]
     assert pacing.open_streams == 0
--- a/whinrack/dispatch/tests/test_choice_and_send.py
+++ b/whinrack/dispatch/tests/test_choice_and_send.py
@@ -1,4 +1,4 @@
-"""What happens between the choice of a target and the first byte that is sent to it."""
+"""Events between the choice of a target and the first byte that is sent to it."""
 
 import types
 
@@ -26,7 +26,7 @@
 
 
 class Connection:
-    """Notes what is sent; the answer never comes."""
+    """Stand-in that records what is sent and never answers."""
 
     def __init__(self, address, sent):
         self.address, self.sent = address, sent
@@ -35,11 +35,11 @@
         self.sent.append(self.address)
 
     def read_head(self, end, is_own):
-        raise TargetUnavailable("nothing was to be sent here")
+        raise TargetUnavailable("nothing should have been sent here")
 
 
 class SlowConnections:
-    """Connections that take so long that something happens meanwhile."""
+    """Stand-in for connections that open slowly, while `meanwhile` is called."""
 
     def __init__(self, meanwhile):
         self.meanwhile = meanwhile
@@ -51,7 +51,7 @@
         return Connection(address, self.sent)
 
     def give_back(self, connection):
-        """Nothing is kept."""
+        """Ignore the connection."""
 
 
 class Headers(Dialect):
@@ -78,7 +78,7 @@
     return RequestRun(exchange, request, configuration, route, None)
 
 
-def test_a_target_that_leaves_while_its_connection_is_waited_for_gets_nothing(run):
+def test_a_target_that_leaves_while_its_connection_opens_gets_no_request(run):
     registry = TargetRegistry(seed=1)
     for number in (1, 2):
         registry.put(TargetRecord(f"t{number}", "p", "h", number))
@@ -109,8 +109,8 @@
     assert steady() - began < 1.0
 
 
-def test_a_target_that_states_a_limit_while_its_connection_is_waited_for_gets_its_rate(run):
-    """Requests that had been chosen for it before the word was heard come no more than others."""
+def test_a_target_that_states_a_limit_while_its_connection_opens_gets_no_more(run):
+    """Requests for which it was chosen before the statement are limited like later ones."""
     registry = TargetRegistry(seed=1)
     registry.put(TargetRecord("t1", "p", "h", 1))
     registry.stated_limits.record_answer("t1", 1.0, sent_at=steady())
--- a/whinrack/dispatch/tests/test_cold_targets.py
+++ b/whinrack/dispatch/tests/test_cold_targets.py
@@ -1,4 +1,4 @@
-"""When a target counts as cold."""
+"""When targets are considered cold, and how requests are limited then."""
 
 import pytest
 
@@ -18,7 +18,7 @@
 
 
 class World:
-    """A registry with a clock that is set."""
+    """A registry with a simulated clock."""
 
     def __init__(self, *names, members=("m1",), slots=1):
         self.now = 100.0
@@ -54,7 +54,7 @@
         return next(s for s in self.targets.targets_in_pool("p") if s.record.incarnation == name)
 
     def send(self, rank=0):
-        """Choose a target as a request does; returns its name."""
+        """Choose a target as for a request and return its name."""
         state = self.targets.choose("p", "", (), self.now, cold_start=COLD, priority=rank)
         if state is None:
             return None
@@ -67,26 +67,26 @@
                 self.targets.end_request(state)
 
 
-def test_a_target_is_cold_as_long_as_its_word_says_from_when_that_came():
+def test_a_target_is_cold_for_the_time_in_its_record_from_its_arrival():
     world = World("a", "b")
     world.say("a", 2.0)
     assert world.cold() == {"a"}
     world.now += 1.9
-    # The same word told again, by another way, begins nothing anew.
+    # Receiving the same record again does not restart the time.
     world.say("a", 2.0)
     assert world.cold() == {"a"}
     world.now += 0.2
     assert world.cold() == set()
 
 
-def test_a_later_word_that_it_is_warm_counts_at_once():
+def test_a_later_record_that_says_warm_takes_effect_at_once():
     world = World("a")
     world.say("a", 3.0)
     world.say("a", 0.0, version=3)
     assert world.cold() == set()
 
 
-def test_a_target_that_does_not_say_is_cold_for_a_starts_time():
+def test_a_target_whose_record_does_not_say_is_cold_for_the_pools_warm_up_time():
     world = World()
     world.say("a", None)
     assert world.cold() == {"a"}
@@ -94,7 +94,7 @@
     assert world.cold() == set()
 
 
-def test_an_unreachable_target_is_cold_until_its_record_would_have_lapsed_and_it_had_started():
+def test_an_unreachable_target_is_cold_for_record_expiry_plus_warm_up():
     world = World("a")
     world.state("a").record_unreachable(world.now)
     world.now += 6.9
@@ -103,7 +103,7 @@
     assert world.cold() == set()
 
 
-def test_one_that_answers_after_it_was_unreachable_may_have_started_just_now():
+def test_a_target_that_answers_after_being_unreachable_is_cold_again():
     world = World("a")
     world.state("a").record_unreachable(world.now)
     world.now += 20.0
@@ -113,7 +113,7 @@
     assert world.cold() == set()
 
 
-def test_a_word_from_before_the_end_does_not_make_it_warm():
+def test_a_record_from_before_the_failure_does_not_make_a_target_warm():
     world = World("a")
     world.state("a").record_unreachable(world.now)
     world.now += 0.5
@@ -124,7 +124,7 @@
     assert world.cold() == set()
 
 
-def test_targets_of_a_hall_that_comes_back_are_cold_whatever_they_said_before():
+def test_targets_of_a_released_hall_are_cold_regardless_of_their_records():
     world = World("a")
     world.targets.update_hall(HallStatus("z", 5, True))
     world.targets.update_hall(HallStatus("z", 5, False))
@@ -134,14 +134,14 @@
     assert world.cold() == set()
 
 
-def test_a_later_start_is_cold_by_its_own_word():
+def test_a_later_start_is_cold_by_its_own_record():
     world = World("a")
     world.say("a", 0.0, version=2, started=1)
     world.say("a", 3.0, version=3, started=2)
     assert world.cold() == {"a"}
 
 
-def test_warm_targets_with_a_free_slot_go_first():
+def test_warm_targets_with_a_free_slot_are_preferred():
     world = World("warm", "cold", slots=3)
     world.say("cold", 10.0)
     assert [world.send() for _ in range(3)] == ["warm"] * 3
@@ -155,7 +155,7 @@
     assert world.targets.choose("p", "", (), world.now) is not None
 
 
-def test_where_all_are_cold_what_is_not_allowed_is_turned_away_with_when_to_come_back():
+def test_excess_requests_to_cold_targets_are_refused_with_a_retry_delay():
     world = World("a", members=("m1",))
     world.say("a", 10.0)
     sent = 0
@@ -163,13 +163,13 @@
         sent += world.send() is not None
         world.finish_all()
         world.now += 0.1
-    # Used is 3.5 a second of the 4 that it bears.
+    # 3.5 of the 4 requests per second are used.
     assert 16 <= sent <= 19
     wait = pool_refusal(world.targets, PoolRecord("p", 0, cold_start=COLD), world.now).retry_after
     assert 0.0 < wait <= 5.0
 
 
-def test_a_permit_is_left_to_the_more_urgent_that_were_turned_away():
+def test_a_permit_is_left_to_a_more_urgent_request_that_was_refused():
     world = World("a")
     world.say("a", 10.0)
     assert world.send(rank=1) == "a"
@@ -182,7 +182,7 @@
 
 
 @pytest.mark.parametrize("members", [(), ("m2", "m3", "m4", "m5")])
-def test_an_instance_that_knows_nobody_or_holds_nothing_sends_nothing_to_cold_targets(members):
+def test_an_instance_without_members_or_share_sends_nothing_to_cold_targets(members):
     world = World("a", members=members)
     world.say("a", 10.0)
     assert world.send() is None
--- a/whinrack/dispatch/tests/test_crash_detector.py
+++ b/whinrack/dispatch/tests/test_crash_detector.py
@@ -1,4 +1,4 @@
-"""Which cuts of answers are ends of targets, and speak against the requests that ran there."""
+"""Which cut answers count as crashes of targets and are reported to the quarantine."""
 
 import socket
 
@@ -15,7 +15,7 @@
 
 
 class Guard(RunGuard):
-    """Notes the ends."""
+    """Records the reported crashes."""
 
     def __init__(self):
         self.ends = []
@@ -25,7 +25,7 @@
 
 
 class World:
-    """One target, what its address says, and what the quarantine is told."""
+    """One target, the result of probing its address, and the reports to the quarantine."""
 
     def __init__(self):
         self.presence = Presence.ENDED
@@ -61,32 +61,32 @@
     sock.close()
 
 
-def test_a_listening_target_is_here(listener):
+def test_a_listening_target_is_present(listener):
     assert probe_address(listener.getsockname()) is Presence.HERE
 
 
-def test_one_whose_process_is_gone_has_ended(listener):
+def test_a_target_whose_process_has_ended_is_detected(listener):
     address = listener.getsockname()
     listener.close()
     assert probe_address(address) is Presence.ENDED
 
 
-def test_many_cuts_at_once_are_one_question_and_one_end(world):
+def test_simultaneous_cuts_cause_one_probe_and_one_report(world):
     assert world.cut() == [(TargetEnd("t", 7), REQUESTS)]
     assert len(world.asked) == 1
 
 
-def test_a_target_that_lives_on_has_not_ended(world):
+def test_a_target_that_still_listens_has_not_crashed(world):
     world.presence = Presence.HERE
     assert world.cut() == []
 
 
-def test_a_link_that_is_cut_tells_nothing(world):
+def test_a_broken_link_is_no_evidence_of_a_crash(world):
     world.presence = Presence.UNKNOWN
     assert world.cut() == []
 
 
-def test_a_target_that_refuses_connections_and_goes_on_with_others_has_not_ended(world):
+def test_a_target_that_refuses_connections_while_requests_run_has_not_crashed(world):
     world.registry.begin_request(world.state)
     assert world.cut() == []
     world.registry.end_request(world.state)
@@ -94,29 +94,29 @@
     assert len(world.guard.ends) == 1
 
 
-def test_a_target_that_ended_gets_no_more_for_a_while(world):
+def test_a_crashed_target_is_unavailable_for_a_while(world):
     world.cut()
     assert not world.state.is_available(steady())
 
 
-def test_a_target_that_said_that_it_leaves_ends_as_planned(world):
+def test_the_end_of_a_leaving_target_is_planned(world):
     world.registry.mark_leaving("t")
     assert world.cut() == []
 
 
-def test_another_target_at_the_address_tells_that_the_first_ended(world):
+def test_another_target_at_the_same_address_reveals_a_crash(world):
     world.presence = Presence.HERE
     successor = TargetRecord("u", "p", "h", 1, started=9)
     assert len(world.cut(lambda: world.registry.put(successor))) == 1
 
 
-def test_a_silent_address_whose_record_lapses_tells_it_too(world):
+def test_an_unreachable_target_whose_record_expires_has_crashed(world):
     world.presence = Presence.UNKNOWN
     world.registry.begin_request(world.state)
     assert len(world.cut(lambda: world.registry.remove("t"))) == 1
 
 
-def test_a_target_that_is_there_and_whose_record_goes_leaves_as_planned(world):
+def test_a_listening_target_whose_record_is_removed_leaves_as_planned(world):
     world.presence = Presence.HERE
     world.registry.begin_request(world.state)
     assert world.cut(lambda: world.registry.remove("t")) == []
--- a/whinrack/dispatch/tests/test_decisions.py
+++ b/whinrack/dispatch/tests/test_decisions.py
@@ -1,4 +1,4 @@
-"""Decisions of the pipeline without I/O: routes, keys, targets, retries, events."""
+"""Pure logic of the pipeline: routes, keys, choice of targets, retries and event parsing."""
 
 import pytest
 
@@ -57,7 +57,7 @@
             config.find_route(host, path)
 
 
-def test_keys_name_their_workspace_and_public_routes_need_none():
+def test_a_key_identifies_its_workspace_and_public_routes_need_no_key():
     config = configuration()
     assert config.authenticate(route("r", "/"), "k2").name == "w"
     assert config.authenticate(route("r", "/", public=True), "") is None
@@ -65,7 +65,7 @@
         config.authenticate(route("r", "/"), "k3")
 
 
-def test_versions_only_rise():
+def test_only_newer_configuration_versions_take_effect():
     taken = []
     directory = CurrentConfiguration(lambda config: taken.append(config.version))
     with pytest.raises(ConfigurationUnknown):
@@ -100,7 +100,7 @@
     assert choose(targets) == "b"
 
 
-def test_requests_with_the_same_prefix_stay_together_until_the_imbalance_is_too_large():
+def test_requests_with_the_same_prefix_share_a_target_up_to_the_maximum_imbalance():
     targets = registry("a", "b", "c")
     home = choose(targets, "prefix")
     loads = []
@@ -114,7 +114,7 @@
 
 
 def loads_of(targets, **counts):
-    """Return what another instance says, by the names of the targets."""
+    """Return loads as another instance reports them, given by target name."""
     by_name = {state.record.incarnation: state.digest for state in targets.targets_in_pool("p")}
     return {by_name[name]: count for name, count in counts.items()}
 
@@ -123,21 +123,21 @@
     return targets.choose("p", affinity, (), 0.0, uses_remote_loads=True).record.incarnation
 
 
-def test_requests_of_other_instances_count_where_loads_are_shared():
+def test_requests_of_other_instances_count_if_remote_loads_are_used():
     targets = registry("a", "b")
     targets.remote_loads.update("m2", loads_of(targets, a=5), 0.0)
     assert {choose_shared(targets) for _ in range(20)} == {"b"}
     assert {choose(targets) for _ in range(20)} == {"a", "b"}
 
 
-def test_a_prefix_gives_way_to_what_other_instances_have_there():
+def test_affinity_is_given_up_at_a_target_that_other_instances_load():
     targets = registry("a", "b", "c")
     home = choose_shared(targets, "prefix")
     targets.remote_loads.update("m2", loads_of(targets, **{home: 9}), 0.0)
     assert choose_shared(targets, "prefix") != home
 
 
-def test_a_prefix_stays_while_its_target_has_slots_enough():
+def test_affinity_is_kept_while_the_target_has_enough_free_slots():
     targets = TargetRegistry(seed=1)
     targets.replace_all([TargetRecord(name, "p", "127.0.0.1", 1, slots=64) for name in "abc"])
     home = choose_shared(targets, "prefix")
@@ -147,7 +147,7 @@
     assert choose_shared(targets, "prefix") != home
 
 
-def test_the_latest_word_of_an_instance_counts_until_it_is_silent():
+def test_the_latest_loads_of_an_instance_count_until_they_expire():
     targets = registry("a")
     (state,) = targets.targets_in_pool("p")
     for count in (5, 3):
@@ -158,26 +158,26 @@
     assert targets.remote_loads.requests_at(state.digest) == 0
 
 
-def test_an_instance_tells_its_requests_in_flight():
+def test_an_instance_reports_its_requests_in_flight():
     targets = registry("a", "b")
     state = targets.choose("p", "", ("b",), 0.0)
     targets.begin_request(state)
     assert targets.requests_by_target() == {state.digest: 1}
 
 
-def test_leaving_and_gone_targets_take_no_work():
+def test_leaving_and_removed_targets_get_no_requests():
     targets = registry("a", "b", "c", "d")
     assert targets.put(record("a", leaving=True))
     assert targets.remove("b")
     assert targets.mark_leaving("c")
     assert choose(targets) == "d"
-    assert not targets.put(record("a")), "an old record brings a leaving target back"
-    assert not targets.put(record("c")), "a peer's word is newer than the list"
+    assert not targets.put(record("a")), "an outdated record reactivates a leaving target"
+    assert not targets.put(record("c")), "the announcement by a peer is newer than the record"
     assert choose(targets) == "d"
     assert {record.incarnation for record in targets.leaving_records()} == {"a", "c"}
 
 
-def test_a_target_that_fails_is_set_aside_and_comes_back():
+def test_a_failing_target_is_ejected_for_a_while():
     targets = registry("a", "b")
     (failing,) = [s for s in targets.targets_in_pool("p") if s.record.incarnation == "a"]
     for _ in range(3):
@@ -186,7 +186,7 @@
     assert {choose(targets, now=1.5) for _ in range(40)} == {"a", "b"}
 
 
-def test_a_target_that_can_not_be_reached_is_set_aside_at_once():
+def test_an_unreachable_target_is_ejected_at_once():
     targets = registry("a", "b")
     (gone,) = [s for s in targets.targets_in_pool("p") if s.record.incarnation == "a"]
     gone.ejection.record_unreachable(0.0)
@@ -195,14 +195,14 @@
     assert targets.has_eligible_target("p", {"a"}, 0.1)
 
 
-def test_a_target_that_is_set_aside_is_better_than_none():
+def test_an_ejected_target_is_used_if_there_is_no_other():
     targets = registry("a")
     for _ in range(3):
         targets.targets_in_pool("p")[0].ejection.record_failure(0.0)
     assert choose(targets, now=0.1) == "a"
 
 
-def test_no_more_requests_go_to_a_target_than_its_connections_allow():
+def test_requests_in_flight_at_a_target_are_limited():
     targets = registry("a", "b")
     for _ in range(4):
         targets.begin_request(targets.choose("p", "", (), 0.0, 2))
@@ -210,13 +210,13 @@
     assert targets.choose("p", "", (), 0.0, 2) is None
 
 
-def test_a_full_target_rests_but_is_better_than_none():
+def test_a_busy_target_is_used_if_there_is_no_other():
     targets = registry("a")
     targets.mark_busy(targets.targets_in_pool("p")[0], 0.0)
     assert choose(targets) == "a"
 
 
-def test_retries_are_a_share_of_the_requests_in_the_window():
+def test_retries_are_limited_to_a_ratio_of_the_requests_in_the_window():
     allowance = RetryBudget(ratio=0.2, slack=0.0, window=10.0)
     for _ in range(100):
         allowance.record_request(0.0)
@@ -227,7 +227,7 @@
 
 
 @pytest.mark.parametrize("size", [1, 2, 3, 7, 1000])
-def test_events_come_whole_however_the_bytes_are_split(size):
+def test_events_are_complete_however_the_bytes_are_split(size):
     data = b"".join(b"id: %d\ndata: %d\n\n" % (n, n) for n in range(1, 6))
     chunks = [data[at : at + size] for at in range(0, len(data), size)]
     blocks = list(event_blocks(chunks))
@@ -236,20 +236,20 @@
     assert blocks[-1].last_id == 5
 
 
-def test_events_that_the_caller_has_are_left_out():
+def test_events_that_the_caller_has_received_are_left_out():
     data = b"id: 1\ndata: a\n\nid: 2\ndata: b\n\nid: 3\ndata: c\n\n"
     (block,) = event_blocks([data], after=2)
     assert (block.data, block.count, block.last_id) == (b"id: 3\ndata: c\n\n", 1, 3)
 
 
-def test_half_an_event_is_never_passed_on():
+def test_an_incomplete_event_is_never_relayed():
     blocks = event_blocks([b"id: 1\ndata: a\n\nid: 2\nda"])
     assert next(blocks).last_id == 1
     with pytest.raises(AnswerCut):
         next(blocks)
 
 
-def test_a_target_that_said_it_leaves_does_not_come_back_after_its_record_went():
+def test_a_leaving_target_stays_leaving_after_its_record_was_removed():
     targets = registry("a", "b")
     leaving = TargetRecord("a", "p", "h", 1, is_leaving=True)
     assert targets.put(leaving)
@@ -258,7 +258,7 @@
     assert targets.choose("p", "", (), 0.0).record.incarnation == "b"
 
 
-def test_a_peers_word_that_a_target_leaves_holds_for_a_record_that_comes_later():
+def test_an_announcement_of_leaving_by_a_peer_applies_to_a_record_that_arrives_later():
     targets = registry("b")
     assert not targets.mark_leaving("a")
     assert targets.put(TargetRecord("a", "p", "h", 1))
--- a/whinrack/dispatch/tests/test_emptied_halls.py
+++ b/whinrack/dispatch/tests/test_emptied_halls.py
@@ -1,4 +1,4 @@
-"""Words on emptied data halls, in any order."""
+"""Statuses of emptied data halls arrive in any order."""
 
 import itertools
 
@@ -20,12 +20,12 @@
     return halls
 
 
-def test_the_latest_word_wins_in_whatever_order_words_come():
+def test_the_latest_status_wins_in_any_order_of_arrival():
     for words in itertools.permutations(WORDS):
         assert learn_all(words).names == {"z", "y"}
 
 
-def test_an_older_word_changes_nothing_and_is_no_news():
+def test_an_older_status_changes_nothing():
     halls = learn_all(WORDS)
     assert not halls.update(HallStatus("z", 7, False))
     assert halls.update(HallStatus("z", 8, False))
@@ -33,14 +33,14 @@
     assert halls.names == {"y"}
 
 
-def test_a_list_takes_back_what_it_lacks_but_not_what_is_later():
+def test_a_list_releases_missing_halls_unless_their_status_is_newer():
     halls = learn_all(WORDS)
     assert halls.released_by_list({"y"}, 7) == []
     assert halls.released_by_list({"y"}, 8) == [HallStatus("z", 8, False)]
     assert halls.released_by_list({"y", "z"}, 9) == []
 
 
-def test_words_on_halls_in_use_are_bounded_and_emptied_halls_are_kept():
+def test_statuses_of_released_halls_are_bounded_and_emptied_halls_are_kept():
     halls = EmptiedHalls()
     halls.update(HallStatus("kept", 1, True))
     for number in range(500):
@@ -57,7 +57,7 @@
     return targets
 
 
-def test_targets_of_an_emptied_hall_are_neither_chosen_nor_another_choice():
+def test_targets_of_an_emptied_hall_are_not_eligible():
     targets = registry(a="z", b="y")
     assert targets.update_hall(HallStatus("z", 2, True))
     chosen = {targets.choose("p", f"k{n}", (), 0.0).record.incarnation for n in range(20)}
@@ -67,7 +67,7 @@
     assert targets.choose("p", "", (), 0.0) is None
 
 
-def test_callers_are_told_to_come_back_after_as_long_as_all_halls_have_been_emptied():
+def test_the_retry_delay_is_the_time_for_which_all_halls_have_been_emptied():
     targets = registry(a="z", b="y")
     pool = PoolRecord("p", 0)
     targets.clock = lambda: 10.0
@@ -81,7 +81,7 @@
     assert pool_refusal(targets, pool, 15.0).retry_after == BUSY_RETRY_SECONDS
 
 
-def test_a_target_whose_hall_is_emptied_after_the_choice_may_be_sent_nothing():
+def test_a_target_whose_hall_is_emptied_after_the_choice_is_not_eligible():
     targets = registry(a="z", b="y")
     state = targets.choose("p", "", {"b"}, 0.0)
     targets.update_hall(HallStatus("z", 2, True))
--- a/whinrack/dispatch/tests/test_engine_choice.py
+++ b/whinrack/dispatch/tests/test_engine_choice.py
@@ -1,4 +1,4 @@
-"""Placing prompts of very different lengths, and a replay of a burst of them."""
+"""Choice of engines for prompts of very different lengths, and a simulated burst of prompts."""
 
 import heapq
 import itertools
@@ -17,18 +17,18 @@
     return EngineBacklog(name, unread, requests, slots)
 
 
-def test_the_engine_with_the_least_to_read_is_chosen():
+def test_the_engine_with_the_smallest_backlog_is_chosen():
     engines = [engine("a", unread=50_000, requests=1), engine("b", unread=9_000, requests=4)]
     assert choose_engine(None, engines, 0).name == "b"
 
 
-def test_an_engine_whose_slots_are_taken_comes_last():
+def test_an_engine_without_a_free_slot_is_chosen_last():
     engines = [engine("a", requests=32), engine("b", unread=15_000, requests=8)]
     assert choose_engine(None, engines, 0).name == "b"
 
 
 @pytest.mark.parametrize(("unread", "chosen"), [(20_000, "home"), (60_000, "other")])
-def test_the_engine_with_the_shared_parts_is_left_when_it_is_far_behind(unread, chosen):
+def test_the_preferred_engine_is_not_used_if_its_backlog_is_much_larger(unread, chosen):
     home, others = engine("home", unread=unread), [engine("other")]
     assert choose_engine(home, others, 5_000).name == chosen
 
@@ -39,7 +39,7 @@
     return targets
 
 
-def test_what_others_have_to_read_there_counts_too():
+def test_unread_tokens_of_other_instances_count():
     targets = registry(2)
     first, second = targets.targets_in_pool("p")
     targets.remote_loads.update("m2", {first.digest: 1}, 0.0, {first.digest: 40_000})
@@ -50,7 +50,7 @@
     assert chosen == {second.address}
 
 
-def test_a_prompt_counts_until_it_is_read_and_once_only():
+def test_a_prompt_counts_until_it_is_finished_and_only_once():
     (state,) = registry(1).targets_in_pool("p")
     reading, other = PendingPrompt(state, 700), PendingPrompt(state, 50)
     reading.finish()
@@ -61,12 +61,12 @@
 
 
 class Prompt(msgspec.Struct, frozen=True):
-    """One request of the replay.
+    """One request of the simulation.
 
     Attributes
     ----------
     tokens, shared : int
-        Of the whole prompt, and of the parts that requests on the same thing share.
+        Tokens of the whole prompt, and of the parts that requests on the same topic share.
     """
 
     is_long: bool
@@ -76,7 +76,7 @@
 
 
 class Burst:
-    """Instances that place prompts at engines which read one after the other.
+    """Simulation of instances that send prompts to engines, which process them one by one.
 
     Each instance knows its own requests at once and those of the others every half second.
     """
@@ -103,7 +103,7 @@
         return self
 
     def in_time(self, is_long):
-        """Return the part of the prompts whose first token came within 0.8 s."""
+        """Return the fraction of prompts whose first token arrived within 0.8 s."""
         waited = self.waited[is_long]
         return sum(seconds <= 0.8 for seconds in waited) / len(waited)
 
@@ -163,8 +163,8 @@
                 )
 
 
-def test_a_burst_of_prompts_is_read_sooner_by_work_than_by_requests():
-    """At 1.7 times the usual load, and engines that are slower by a third."""
+def test_choosing_by_backlog_beats_choosing_by_requests_in_a_burst():
+    """At 1.7 times the usual load, with engines that are slower by a third."""
     by_work, by_requests = Burst(by_work=True).play(), Burst(by_work=False).play()
     for is_long, least in ((True, 0.87), (False, 0.95)):
         assert by_work.in_time(is_long) >= least
--- a/whinrack/dispatch/tests/test_limited_fleet.py
+++ b/whinrack/dispatch/tests/test_limited_fleet.py
@@ -1,8 +1,8 @@
-"""What reaches targets that state a limit, summed over fleets of 8, 87 and 200 instances.
+"""Requests that reach targets with stated limits, summed over fleets of 8, 87 and 200 instances.
 
-Each instance learned of such a word by its own requests only, and nothing kept to it, so a target
-in need got its usual share. The bound is for the sum: 1.5 times what is allowed in 4 s and 5
-requests more, from 3 s after the first word.
+Guards against instances that learn of a limit only from their own requests or do not enforce it, so
+that an overloaded target still gets its usual share. The bound applies to the sum over all
+instances: 1.5 times the limit in any 4 s plus 5 requests, from 3 s after the first statement.
 """
 
 import pytest
@@ -12,7 +12,7 @@
 
 _CONTACT_SECONDS = 3.0
 _LEAST_USED = 0.6
-# Requests a second that callers bring to each instance, by the number of instances.
+# Requests per second from the callers of each instance, by number of instances.
 _DEMAND = {8: 8.0, 20: 8.0, 87: 8.0, 200: 3.0}
 SIZES = (8, 87, 200)
 
@@ -28,7 +28,7 @@
 
 @pytest.mark.parametrize("count", SIZES)
 @pytest.mark.parametrize("limit", [0.0, 0.2, 1.0, 1.4, 3.0, 10.0])
-def test_the_sum_keeps_to_the_limit_and_uses_it(count, limit):
+def test_the_limit_is_kept_and_used(count, limit):
     limits = [limit] * 3
     fleet = Fleet(count, limits, demand=_DEMAND[count])
     fleet.run(23.0)
@@ -37,8 +37,8 @@
     assert used >= _LEAST_USED * limit * len(limits) * 20.0 - len(limits)
 
 
-def test_what_is_allowed_for_all_that_callers_bring_serves_nearly_all_at_once():
-    """24 requests a second come, and the targets take 30."""
+def test_nearly_all_requests_are_served_if_the_limits_exceed_the_demand():
+    """Callers send 24 requests per second and the targets accept 30."""
     fleet = Fleet(8, [10.0] * 3, demand=3.0)
     fleet.run(23.0)
     served = sum(map(len, fleet.since(_CONTACT_SECONDS)))
@@ -47,8 +47,8 @@
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_views_that_differ_keep_to_it(seed):
-    """Each lacks one that has just begun to serve, or counts one that is gone; none misses any."""
+def test_the_limit_is_kept_with_different_views_of_the_members(seed):
+    """Each view lacks a new member or includes a former one; no instance reports one missing."""
     limits = [0.2, 1.0, 3.0, 10.0]
     fleet = Fleet(8, limits, demand=_DEMAND[8], seed=seed)
     for name, instance in fleet.instances.items():
@@ -59,7 +59,7 @@
 
 
 @pytest.mark.parametrize("count", SIZES)
-def test_two_halves_that_hear_nothing_of_each_other_keep_to_it_together(count):
+def test_the_limit_is_kept_during_and_after_a_partition(count):
     limits = [0.2, 1.0, 3.0]
     fleet = Fleet(count, limits, demand=_DEMAND[count])
     fleet.run(5.0)
@@ -73,8 +73,8 @@
 
 @pytest.mark.parametrize("count", SIZES)
 @pytest.mark.parametrize("seed", range(3))
-def test_restarts_one_after_the_other_keep_to_it(count, seed):
-    """A new run knows no word; its first request to each target, or a peer, tells it."""
+def test_the_limit_is_kept_during_successive_restarts(count, seed):
+    """A restarted instance learns each limit from its first request or from a peer."""
     limits = [1.0, 1.0, 3.0]
     fleet = Fleet(count, limits, demand=_DEMAND[count], seed=seed)
     fleet.run(6.0)
@@ -86,7 +86,7 @@
 
 
 @pytest.mark.parametrize("count", SIZES)
-def test_after_a_restart_of_all_it_holds_again_from_the_first_word_on(count):
+def test_the_limit_is_kept_again_soon_after_a_restart_of_all_instances(count):
     limits = [1.0, 3.0]
     fleet = Fleet(count, limits, demand=_DEMAND[count])
     fleet.run(6.0)
@@ -97,7 +97,7 @@
 
 
 @pytest.mark.parametrize("count", SIZES)
-def test_what_is_held_up_on_the_way_and_arrives_together_is_within_it(count):
+def test_the_limit_is_kept_if_delayed_requests_arrive_together(count):
     limits = [1.0, 3.0]
     fleet = Fleet(count, limits, demand=_DEMAND[count])
     fleet.run(6.0)
@@ -108,7 +108,7 @@
 
 
 @pytest.mark.parametrize("count", SIZES)
-def test_the_limit_ends_when_the_target_ends_it(count):
+def test_the_limit_ends_when_the_target_stops_stating_it(count):
     fleet = Fleet(count, [1.0, 1.0], demand=_DEMAND[count])
     fleet.run(8.0)
     for target in fleet.targets:
@@ -125,7 +125,7 @@
 
 
 @pytest.mark.parametrize("count", SIZES)
-def test_a_limit_ends_though_the_instances_that_may_send_have_no_callers(count):
+def test_a_limit_ends_although_the_holders_cannot_send(count):
     fleet = Fleet(count, [1.0, 1.0], demand=_DEMAND[count])
     fleet.run(6.0)
     holders = {
@@ -136,7 +136,7 @@
     }
     assert len(fleet.instances["m0"].registry.stated_limits.limited_targets()) == len(fleet.targets)
     for name in holders:
-        # Out of the way: nothing that they send arrives.
+        # No request of a holder arrives.
         fleet.held_up[name] = 1000.0
     for target in fleet.targets:
         target.limit = NO_LIMIT
@@ -145,7 +145,7 @@
     assert all(not instance.registry.stated_limits.limited_targets() for instance in others)
 
 
-def test_a_limit_that_goes_up_and_down_is_kept_to():
+def test_an_alternating_limit_is_kept():
     limits = [1.0, 3.0]
     fleet = Fleet(20, limits, demand=_DEMAND[20], answer_seconds=0.4)
     fleet.run(8.0)
--- a/whinrack/dispatch/tests/test_shared_rates.py
+++ b/whinrack/dispatch/tests/test_shared_rates.py
@@ -1,4 +1,4 @@
-"""What may reach a cold target in a second, summed over instances whose views differ."""
+"""Requests that may reach a cold target within a second, summed over all instances."""
 
 import random
 
@@ -10,21 +10,26 @@
 LIMITS = WarmUpLimits(1.5, 5.0)
 RATES = (1.0, 4.0, 9.9, 30.0, 100.0)
 SECONDS = 8.0
-# Between two requests that find no permit, as a part of the time between permits: one that waits
-# gains nothing.
+# Time between two attempts to get a permit, as a fraction of the time between permits. An instance
+# gains nothing by waiting longer.
 STEP_PART = 0.02
-# Between two looks at who holds a share, for views that change.
+# Interval at which the holders are determined again, for views that change.
 LOOK_SECONDS = 0.1
 NAMES = [f"m{number}" for number in range(87)]
 
 
 def press(views, rate, target="t"):
-    """Let each instance send whatever it may; returns the moments of all sends.
+    """Let each instance send whenever it has a permit.
 
     Parameters
     ----------
     views : dict of str to callable
-        For each instance, whom it counts at a moment.
+        For each instance, a function that returns its known members at a time.
+
+    Returns
+    -------
+    list of float
+        The times of all sent requests.
     """
     now, looked_at = 0.0, -1.0
     bound = LIMITS.rate_bound(rate)
@@ -53,22 +58,22 @@
 
 @pytest.mark.parametrize("rate", RATES)
 @pytest.mark.parametrize("count", [1, 2, 3, 6, 20, 87])
-def test_instances_that_agree_use_the_rate_and_stay_below_the_bound(rate, count):
+def test_instances_with_equal_views_use_the_rate_within_the_bound(rate, count):
     sends = press(agreeing(count), rate)
     assert most_in_a_second(sends) <= LIMITS.rate_bound(rate).max_requests
     assert len(sends) >= 0.75 * rate * SECONDS - 1
 
 
 @pytest.mark.parametrize("rate", RATES)
-def test_two_halves_that_know_nothing_of_each_other_stay_below_the_bound(rate):
+def test_a_partitioned_fleet_stays_within_the_bound(rate):
     halves = (NAMES[:40], NAMES[40:])
     views = {name: lambda now, half=half: half for half in halves for name in half}
     assert most_in_a_second(press(views, rate)) <= LIMITS.rate_bound(rate).max_requests
 
 
 @pytest.mark.parametrize("seed", range(8))
-def test_old_members_counted_and_new_ones_not_known_yet_stay_below_the_bound(seed):
-    """Each view lacks some that have just begun to serve, and has some that are gone."""
+def test_instances_with_outdated_views_stay_within_the_bound(seed):
+    """Each view lacks some new members and includes some former ones."""
     draw = random.Random(seed)
     serving = NAMES[:8]
     views = {}
@@ -78,8 +83,8 @@
     assert most_in_a_second(press(views, 9.9)) <= LIMITS.rate_bound(9.9).max_requests
 
 
-def test_members_that_change_while_it_is_cold_stay_below_the_bound():
-    """A halved fleet meets again, and halves again, three times."""
+def test_changing_members_stay_within_the_bound():
+    """A fleet is repeatedly partitioned and reunited."""
 
     def view_of(half):
         return lambda now: NAMES[:6] if int(now / 1.3) % 2 else half
@@ -89,12 +94,12 @@
     assert most_in_a_second(press(views, 9.9)) <= LIMITS.rate_bound(9.9).max_requests
 
 
-def test_instances_that_know_nobody_send_nothing():
+def test_instances_without_known_members_send_nothing():
     assert press({name: lambda now: () for name in NAMES}, 9.9) == []
 
 
 def test_a_restart_adds_one_request_at_most():
-    """The bucket of a new run is full; all holders restart at once."""
+    """The bucket of a restarted instance is full; all holders restart at once."""
     views = agreeing(6)
     before = press(views, 9.9)
     again = [SECONDS + at for at in press(views, 9.9)]
--- a/whinrack/dispatch/tests/test_stated_limits.py
+++ b/whinrack/dispatch/tests/test_stated_limits.py
@@ -1,4 +1,4 @@
-"""Words on limits come late, in any order, more than once, and from other runs."""
+"""Stated limits: reports arrive late, out of order, repeatedly and from other processes."""
 
 import math
 
@@ -8,7 +8,7 @@
 
 
 class World:
-    """Some instances' limits and one clock."""
+    """The stated limits of several instances with one simulated clock."""
 
     def __init__(self, *names):
         self.now = 100.0
@@ -31,7 +31,7 @@
     return LimitReport(target, rate, hearer, number, age)
 
 
-def test_a_word_is_told_and_taken_back():
+def test_a_limit_and_its_end_are_reported_to_peers():
     world = World("a", "b")
     world.limits["a"].record_answer("t", 1.5, sent_at=99.0, request="r1")
     world.tell("a", "b")
@@ -48,7 +48,7 @@
     ]
 
 
-def test_an_answer_to_a_request_from_before_the_word_does_not_take_it_back():
+def test_an_answer_to_a_request_sent_before_the_statement_does_not_raise_the_limit():
     world = World("a")
     world.limits["a"].record_answer("t", 1.0, sent_at=99.9)
     world.now += 2.0
@@ -59,8 +59,8 @@
     assert world.rates() == [0.5]
 
 
-def test_an_unlimited_answer_that_comes_late_hides_no_limit_that_a_peer_was_told():
-    """Once a limit has ended each answer without one made its end younger."""
+def test_a_late_answer_without_a_limit_does_not_override_a_newer_limit_of_a_peer():
+    """Guards against answers without a limit that refresh the time at which a limit ended."""
     world = World("a", "b")
     world.limits["a"].record_answer("t", 1.0, sent_at=99.9)
     world.now += 1.0
@@ -74,7 +74,7 @@
     assert world.rates() == [1.0, 1.0]
 
 
-def test_the_end_of_a_limit_is_told_for_a_while_only():
+def test_the_end_of_a_limit_is_reported_for_a_limited_time():
     world = World("a")
     world.limits["a"].record_answer("t", 1.0, sent_at=99.9)
     for _ in range(70):
@@ -84,7 +84,7 @@
     assert world.limits["a"].is_empty
 
 
-def test_a_peer_that_was_cut_off_does_not_bring_an_ended_limit_back():
+def test_a_reconnected_peer_does_not_restore_an_ended_limit():
     world = World("a", "b")
     world.limits["a"].record_answer("t", 1.0, sent_at=100.0)
     world.tell("a", "b")
@@ -97,8 +97,8 @@
     assert world.rates() == [NO_LIMIT, NO_LIMIT]
 
 
-def test_a_word_that_goes_round_among_peers_gets_no_younger():
-    """Each hop takes some time that no age counts."""
+def test_a_report_that_peers_echo_still_expires():
+    """Each hop adds a delay that is not included in the age."""
     world = World("a", "b")
     world.limits["a"].record_answer("t", 1.0, sent_at=100.0)
     for _ in range(100):
@@ -113,7 +113,7 @@
     assert world.changes[-1].source == "silence"
 
 
-def test_a_restart_that_counts_its_words_anew_is_heard():
+def test_reports_of_a_restarted_instance_are_accepted_although_its_sequence_restarts():
     world = World("a", "b")
     world.limits["a"].record_answer("t", 1.0, sent_at=100.0)
     world.tell("a", "b")
@@ -125,20 +125,20 @@
 
 
 @pytest.mark.parametrize("odd", [word(-1.0), word(math.nan), word(1.0, -5.0), word(1.0, math.nan)])
-def test_words_that_make_no_sense_are_left_out(odd):
+def test_invalid_reports_are_ignored(odd):
     world = World("a")
     world.limits["a"].merge_reports([odd], "b")
     assert world.rates() == [NO_LIMIT]
 
 
-def test_an_unlimited_target_costs_nothing():
+def test_unlimited_targets_are_not_reported():
     world = World("a")
     for number in range(1000):
         world.limits["a"].record_answer(f"t{number}", NO_LIMIT, sent_at=100.0)
     assert world.limits["a"].next_reports() == []
 
 
-def test_what_is_kept_and_told_is_bounded():
+def test_kept_limits_and_reports_per_heartbeat_are_bounded():
     world = World("a")
     for number in range(2000):
         world.limits["a"].record_answer(f"t{number}", 1.0, sent_at=100.0)
@@ -150,7 +150,7 @@
     }
 
 
-def test_news_goes_before_what_is_only_confirmed():
+def test_changes_are_reported_before_confirmations():
     world = World("a")
     for number in range(45):
         world.limits["a"].record_answer(f"t{number}", 1.0, sent_at=100.0)
--- a/whinrack/dispatch/tests/test_statements.py
+++ b/whinrack/dispatch/tests/test_statements.py
@@ -1,4 +1,4 @@
-"""What targets state of themselves binds whom it concerns, from the answer on."""
+"""Statements of targets in their answers take effect at once, for the instances concerned."""
 
 import pytest
 
@@ -19,7 +19,7 @@
 
 
 class World:
-    """One instance's registry under a clock of its own, with two targets."""
+    """One instance's registry with a simulated clock and two targets."""
 
     def __init__(self):
         self.now = 100.0
@@ -46,7 +46,7 @@
         self.intake.handle(self.state(name), statement, self.now, "r1")
 
     def chosen(self):
-        """Return the names of all targets that requests go to."""
+        """Return the names of all targets that are chosen for requests."""
         states = [self.registry.choose("p", "", (), self.now) for _ in range(50)]
         return {state.record.incarnation for state in states if state is not None}
 
@@ -56,7 +56,7 @@
     return World()
 
 
-def test_a_target_that_says_that_it_leaves_gets_nothing_though_its_record_says_ready(world):
+def test_a_target_that_announces_leaving_gets_no_requests_although_its_record_is_active(world):
     world.handle("a", LEAVING)
     assert world.chosen() == {"b"}
     assert not world.put("a", started=5)
@@ -64,27 +64,27 @@
     assert world.chosen() == set()
 
 
-def test_its_leaving_is_told_to_peers_at_once_and_once(world):
+def test_leaving_is_announced_to_peers_once(world):
     world.handle("a", LEAVING)
     world.handle("a", LEAVING)
     assert world.spread == 1
     assert [record.incarnation for record in world.registry.leaving_records()] == ["a"]
 
 
-def test_an_answer_without_the_word_does_not_take_it_back(world):
+def test_an_answer_without_the_announcement_does_not_revoke_it(world):
     world.handle("a", LEAVING)
     world.handle("a", TargetStatement())
     assert world.chosen() == {"b"}
 
 
-def test_it_stays_out_of_use_when_its_record_goes_and_comes_back(world):
+def test_a_leaving_target_stays_unused_after_its_record_is_removed_and_added_again(world):
     world.handle("a", LEAVING)
     world.registry.remove("a")
     world.put("a", started=5)
     assert world.chosen() == {"b"}
 
 
-def test_also_where_its_start_became_known_after_its_word(world):
+def test_a_leaving_target_stays_unused_if_its_start_time_became_known_later(world):
     world.put("c", started=0)
     world.handle("c", LEAVING)
     world.put("c", started=9)
@@ -93,7 +93,7 @@
     assert world.chosen() == {"a", "b"}
 
 
-def test_a_later_start_is_in_use_and_a_late_answer_of_the_earlier_one_changes_nothing(world):
+def test_a_late_answer_of_an_earlier_start_does_not_affect_a_later_start(world):
     earlier = world.state("a")
     world.handle("a", LEAVING)
     world.put("a", started=6)
@@ -101,12 +101,12 @@
     assert world.chosen() == {"a", "b"}
 
 
-def test_what_another_target_at_its_address_states_is_not_its_own(world):
+def test_a_statement_of_another_target_at_the_same_address_is_ignored(world):
     world.handle("a", TargetStatement(is_misdirected=True, did_not_run=True, is_leaving=True))
     assert world.chosen() == {"a", "b"}
 
 
-def test_peers_are_told_of_the_latest_last(world):
+def test_leaving_records_are_ordered_by_announcement(world):
     for number in range(3):
         world.put(f"t{number}", started=1)
     for number in (2, 0, 1):
@@ -119,7 +119,7 @@
     return TargetStatement(did_not_run=True, retry_after=seconds)
 
 
-def test_a_target_that_tells_to_back_off_gets_nothing_until_the_time_is_over(world):
+def test_a_target_gets_no_requests_during_a_back_off(world):
     world.handle("a", backoff(3.0))
     world.now += 2.99
     assert world.chosen() == {"b"}
@@ -128,7 +128,7 @@
     assert world.chosen() == {"a", "b"}
 
 
-def test_a_shorter_back_off_does_not_shorten_the_one_before(world):
+def test_a_shorter_back_off_does_not_shorten_a_running_one(world):
     world.handle("a", backoff(3.0))
     world.now += 1.0
     world.handle("a", backoff(0.5))
@@ -139,7 +139,7 @@
     assert world.chosen() == {"b"}
 
 
-def test_a_back_off_outlives_a_record_that_goes_and_comes_back_and_ends_with_the_start(world):
+def test_a_back_off_survives_removal_of_the_record_and_ends_with_the_start(world):
     world.handle("a", backoff(30.0))
     world.registry.remove("a")
     world.put("a", started=5)
@@ -148,7 +148,7 @@
     assert world.chosen() == {"a", "b"}
 
 
-def test_a_target_that_names_a_huge_time_is_in_use_again_after_an_hour(world):
+def test_a_back_off_is_limited_to_an_hour(world):
     world.handle("a", backoff(1e12))
     world.now += 3599.0
     assert world.chosen() == {"b"}
@@ -156,7 +156,7 @@
     assert world.chosen() == {"a", "b"}
 
 
-def test_a_request_that_was_chosen_before_the_word_is_not_sent_after_it(world):
+def test_a_request_is_not_sent_if_the_target_asked_to_back_off_after_the_choice(world):
     state = world.state("a")
     world.handle("a", backoff(3.0))
     assert not world.registry.can_still_send(state, None, permit_until=None)
@@ -164,14 +164,14 @@
     assert world.registry.can_still_send(state, None, permit_until=None)
 
 
-def test_a_limited_target_is_not_asked_in_a_back_off_whether_the_limit_holds(world):
+def test_a_limited_target_is_not_probed_during_a_back_off(world):
     world.handle("a", TargetStatement(did_not_run=True, rate_limit=1.0, retry_after=30.0))
     world.now += 10.0
     assert world.registry.stated_limits.is_probe_due("a@5")
     assert world.chosen() == {"b"}
 
 
-def test_callers_come_back_when_the_first_back_off_ends(world):
+def test_the_retry_delay_ends_with_the_first_back_off(world):
     world.handle("a", backoff(3.0))
     assert pool_refusal(world.registry, POOL, world.now).retry_after == BUSY_RETRY_SECONDS
     assert target_full_refusal(world.registry, POOL, world.now).retry_after == BUSY_RETRY_SECONDS
@@ -182,7 +182,7 @@
     assert target_full_refusal(world.registry, POOL, world.now).retry_after == 2.0
 
 
-def test_where_some_targets_are_backed_off_from_and_the_others_are_cold_the_sooner_counts(world):
+def test_the_retry_delay_is_the_shorter_of_back_off_and_warm_up(world):
     cold = PoolRecord("p", 0, cold_start=ColdStart(seconds=100.0, rate=0.0))
     for name in ("a", "b"):
         world.put(name, started=6)
@@ -192,7 +192,7 @@
     assert (refusal.code, refusal.retry_after) == ("targets_cold", 0.125)
 
 
-def test_where_the_other_targets_are_in_emptied_halls_the_back_off_counts(world):
+def test_the_back_off_determines_the_retry_delay_if_other_targets_are_in_emptied_halls(world):
     world.registry.put(TargetRecord("c", "p", "h", 1, data_hall="z"))
     world.registry.update_hall(HallStatus("z", 2, True))
     world.handle("a", backoff(3.0))
@@ -201,7 +201,7 @@
     assert world.registry.choose("p", "", (), world.now) is None
 
 
-def test_fields_that_are_not_known_are_counted_by_name_and_no_more_than_some_of_them(world):
+def test_unknown_fields_are_counted_by_name_up_to_a_maximum(world):
     names = [f"new-{number}" for number in range(25)]
     world.handle("a", TargetStatement(unknown_fields=tuple(names)))
     world.handle("a", TargetStatement(unknown_fields=("new-0", "new-24")))
--- a/whinrack/dispatch/tests/test_target_starts.py
+++ b/whinrack/dispatch/tests/test_target_starts.py
@@ -1,4 +1,4 @@
-"""A target is its name and its start: what an earlier start said or did is not the later one's."""
+"""Starts of one target are independent: the state of an earlier one does not affect a later one."""
 
 import pytest
 
@@ -29,7 +29,7 @@
     assert chosen(registry) == 6
 
 
-def test_nor_because_a_peer_says_so_of_the_earlier_one(registry):
+def test_a_peers_announcement_about_an_earlier_start_does_not_affect_a_later_one(registry):
     registry.put(record(6))
     assert not registry.mark_leaving("t", 5)
     assert chosen(registry) == 6
@@ -37,21 +37,21 @@
     assert chosen(registry) is None
 
 
-def test_a_peer_that_tells_no_start_means_the_one_that_is_known(registry):
+def test_an_announcement_without_a_start_refers_to_the_known_start(registry):
     registry.put(record(5))
     assert registry.mark_leaving("t")
     registry.put(record(6))
     assert chosen(registry) == 6
 
 
-def test_a_word_on_a_later_start_that_comes_before_its_record_counts_for_it(registry):
+def test_an_announcement_that_arrives_before_the_record_takes_effect(registry):
     registry.put(record(5))
     registry.mark_leaving("t", 6)
     registry.put(record(6))
     assert chosen(registry) is None
 
 
-def test_an_earlier_start_never_displaces_a_later_one(registry):
+def test_an_earlier_start_never_replaces_a_later_one(registry):
     registry.put(record(6))
     assert not registry.put(record(5, leaving=True))
     registry.put(record(5))
@@ -60,7 +60,7 @@
     assert chosen(registry) == 6
 
 
-def test_it_is_not_set_aside_for_what_the_earlier_one_did(registry):
+def test_a_later_start_is_not_ejected_for_failures_of_the_earlier_one(registry):
     registry.put(record(5))
     registry.put(record(5, name="other", port=2))
     (state, _) = registry.targets_in_pool("p")
@@ -71,7 +71,7 @@
     assert current.is_available(NOW)
 
 
-def test_it_is_not_among_the_tried(registry):
+def test_a_later_start_does_not_count_as_tried(registry):
     registry.put(record(5))
     (state,) = registry.targets_in_pool("p")
     tried = {state.record.identity}
@@ -80,7 +80,7 @@
     assert chosen(registry, tried) == 6
 
 
-def test_loads_that_peers_told_of_the_earlier_one_are_not_its(registry):
+def test_loads_reported_for_an_earlier_start_do_not_apply_to_a_later_one(registry):
     registry.put(record(5))
     (before,) = registry.targets_in_pool("p")
     registry.put(record(6))
@@ -88,7 +88,7 @@
     assert before.digest != after.digest
 
 
-def test_requests_at_the_earlier_one_do_not_count_at_it(registry):
+def test_requests_at_an_earlier_start_do_not_count_for_a_later_one(registry):
     registry.put(record(5))
     (before,) = registry.targets_in_pool("p")
     registry.begin_request(before)
@@ -99,7 +99,7 @@
     assert chosen(registry) == 6
 
 
-def test_the_end_of_the_earlier_one_is_told(registry):
+def test_listeners_are_notified_when_a_start_is_replaced(registry):
     ended = []
     registry.on_target_replaced.append(ended.append)
     registry.put(record(5))
@@ -109,7 +109,7 @@
     assert before.is_leaving
 
 
-def test_what_is_learnt_at_the_address_of_the_earlier_one_takes_nothing_from_the_later(registry):
+def test_a_misdirected_answer_at_an_earlier_start_does_not_affect_a_later_one(registry):
     registry.put(record(5))
     (before,) = registry.targets_in_pool("p")
     registry.put(record(6, port=2))
@@ -118,7 +118,7 @@
 
 
 @pytest.mark.parametrize("planned", [True, False])
-def test_whether_the_earlier_one_ended_as_planned_is_what_it_said(registry, planned):
+def test_a_replaced_start_ended_as_planned_if_it_announced_leaving(registry, planned):
     registry.put(record(5))
     (before,) = registry.targets_in_pool("p")
     registry.begin_request(before)
@@ -129,7 +129,7 @@
     assert before.is_replaced is not planned
 
 
-def test_a_record_of_another_name_with_its_address_takes_nothing_from_it(registry):
+def test_a_record_of_another_name_with_the_same_address_changes_nothing(registry):
     ended = []
     registry.on_target_replaced.append(ended.append)
     registry.put(record(5))
@@ -138,21 +138,21 @@
     assert len(registry.targets_in_pool("p")) == 2
 
 
-def test_a_start_in_the_future_that_another_writer_made_up_keeps_no_good_record_out(registry):
+def test_a_wrong_start_time_in_the_future_does_not_block_valid_records(registry):
     registry.put(record(5))
     registry.put(record(4_102_444_800_000, version=8))
     registry.put(record(5, version=9))
     assert chosen(registry) == 5
 
 
-def test_a_record_with_another_pool_serves_that_one_only(registry):
+def test_a_record_with_another_pool_moves_the_target(registry):
     registry.put(record(5))
     registry.put(TargetRecord("t", "q", "h", 1, started=5))
     assert registry.targets_in_pool("p") == []
     assert len(registry.targets_in_pool("q")) == 1
 
 
-def test_an_entry_without_a_start_works_as_it_did(registry):
+def test_records_without_a_start_time_are_supported(registry):
     registry.put(record(0))
     assert chosen(registry) == 0
     assert registry.put(record(0, leaving=True))
@@ -160,7 +160,7 @@
     assert chosen(registry) is None
 
 
-def test_an_entry_that_lost_its_start_is_the_same_target(registry):
+def test_a_record_that_lost_its_start_time_refers_to_the_known_start(registry):
     registry.put(record(5))
     registry.put(record(0, leaving=True))
     assert chosen(registry) is None
