--- a/whinrack/dispatch/tests/limited_fleet.py
+++ b/whinrack/dispatch/tests/limited_fleet.py
@@ -18,13 +18,13 @@
 __all__ = ["Fleet", "most_in_window"]
 
 _POOL = "p"
-_BEAT_SECONDS = 0.5
+_HEARTBEAT_SECONDS = 0.5
 # Number of receivers of each heartbeat, as in a large fleet.
 _FANOUT = 6
-_NEWS_SECONDS = 0.02
+_CHANGE_DELAY_SECONDS = 0.02
 _REMEMBERED_SECONDS = 15.0
 _SETTLE_SECONDS = 2.0
-_LOOK_SECONDS = 0.1
+_MEMBERS_UPDATE_SECONDS = 0.1
 _SILENT_SECONDS = 1.0
 WINDOW_SECONDS = 4.0
 
@@ -68,10 +68,10 @@
         """Start or restart, knowing only the list of targets."""
         clock = lambda: self.fleet.now  # noqa: E731
         self.started_at = self.fleet.now
-        self._members, self._counted_at = frozenset(), -1.0
+        self._members, self._members_updated_at = frozenset(), -1.0
         limits = StatedLimits(f"{self.name}-{self.fleet.now}", clock)
         limits.on_change.append(lambda change: self.fleet.spread(self))
-        permits = SharedRatePermits(self.name, self.members, self.is_whole)
+        permits = SharedRatePermits(self.name, self.members, self.is_complete)
         self.registry = TargetRegistry(
             seed=1, rate_permits=permits, stated_limits=limits, clock=clock
         )
@@ -80,28 +80,28 @@
 
     def members(self):
         """Return the members that this instance knows, as the real membership would."""
-        if self.fleet.now - self._counted_at >= _LOOK_SECONDS:
-            self._counted_at = self.fleet.now
-            self._members = self._count()
+        if self.fleet.now - self._members_updated_at >= _MEMBERS_UPDATE_SECONDS:
+            self._members_updated_at = self.fleet.now
+            self._members = self._known_members()
         return self._members
 
-    def is_whole(self):
+    def is_complete(self):
         """Return whether neither this instance nor one that it can reach misses a member."""
         fleet = self.fleet
-        if not fleet.half or fleet.now - fleet.cut_at < _SILENT_SECONDS:
+        if not fleet.partition or fleet.now - fleet.split_at < _SILENT_SECONDS:
             return True
         remembering = (
-            fleet.reaches(self.name, name) and instance.started_at < fleet.cut_at
+            fleet.reaches(self.name, name) and instance.started_at < fleet.split_at
             for name, instance in fleet.instances.items()
         )
         return not any(remembering)
 
-    def _count(self):
+    def _known_members(self):
         fleet = self.fleet
         if self.started_at > 0.0 and fleet.now - self.started_at < _SETTLE_SECONDS:
             return frozenset()
         remembers = (
-            fleet.now - fleet.cut_at <= _REMEMBERED_SECONDS and self.started_at < fleet.cut_at
+            fleet.now - fleet.split_at <= _REMEMBERED_SECONDS and self.started_at < fleet.split_at
         )
         return frozenset(
             name for name in fleet.names if remembers or fleet.reaches(self.name, name)
@@ -128,17 +128,17 @@
         self.answer_seconds = answer_seconds
         self.refused = 0
         # One side of a network partition.
-        self.half = frozenset()
-        self.cut_at = float("-inf")
+        self.partition = frozenset()
+        self.split_at = float("-inf")
         # Time until which the requests of an instance are delayed in the network.
-        self.held_up = {}
+        self.delayed_until = {}
         self.targets = [Target(f"t{number}", limit) for number, limit in enumerate(limits)]
         self.names = [f"m{number}" for number in range(count)]
         self.instances = {}
         for name in self.names:
             self.instances[name] = Instance(self, name)
             self.environment.process(self._callers(self.instances[name]))
-            self.environment.process(self._beats(self.instances[name]))
+            self.environment.process(self._send_heartbeats(self.instances[name]))
 
     @property
     def now(self):
@@ -149,18 +149,18 @@
         """Run the simulation up to a time."""
         self.environment.run(until=until)
 
-    def cut(self, half):
+    def split(self, partition):
         """Partition the fleet."""
-        self.half = frozenset(half)
-        self.cut_at = self.now
+        self.partition = frozenset(partition)
+        self.split_at = self.now
 
     def heal(self):
         """End the partition."""
-        self.half = frozenset()
+        self.partition = frozenset()
 
-    def reaches(self, one, other):
+    def reaches(self, sender, receiver):
         """Return whether messages between two instances are delivered."""
-        return (one in self.half) == (other in self.half)
+        return (sender in self.partition) == (receiver in self.partition)
 
     def since(self, moment):
         """Return the arrival times at each target after a time."""
@@ -171,22 +171,22 @@
         self.environment.process(self._spread(instance))
 
     def _spread(self, instance):
-        yield self.environment.timeout(_NEWS_SECONDS)
-        self._beat(instance)
+        yield self.environment.timeout(_CHANGE_DELAY_SECONDS)
+        self._send_heartbeat(instance)
 
-    def _beats(self, instance):
-        yield self.environment.timeout(self.random.random() * _BEAT_SECONDS)
+    def _send_heartbeats(self, instance):
+        yield self.environment.timeout(self.random.random() * _HEARTBEAT_SECONDS)
         while True:
-            self._beat(instance)
-            yield self.environment.timeout(_BEAT_SECONDS)
+            self._send_heartbeat(instance)
+            yield self.environment.timeout(_HEARTBEAT_SECONDS)
 
-    def _beat(self, instance):
+    def _send_heartbeat(self, instance):
         instance.registry.stated_limits.drop_expired()
-        words = instance.registry.stated_limits.next_reports()
+        reports = instance.registry.stated_limits.next_reports()
         others = [name for name in self.names if name != instance.name]
         for name in self.random.sample(others, min(_FANOUT, len(others))):
             if self.reaches(instance.name, name):
-                self.instances[name].registry.stated_limits.merge_reports(words, instance.name)
+                self.instances[name].registry.stated_limits.merge_reports(reports, instance.name)
 
     def _callers(self, instance):
         while True:
@@ -206,7 +206,7 @@
     def _request(self, registry, state, target, sender):
         sent_at = self.now
         state.unanswered_requests += 1
-        until = self.held_up.get(sender, 0.0)
+        until = self.delayed_until.get(sender, 0.0)
         if until > self.now:
             yield self.environment.timeout(until - self.now)
         target.times.append(self.now)
--- a/whinrack/dispatch/tests/test_abandoned_runs.py
+++ b/whinrack/dispatch/tests/test_abandoned_runs.py
@@ -14,7 +14,7 @@
 EVENTS = b"id: 4\ndata: x\n\nid: 5\ndata: y\n\n"
 
 
-class Cover:
+class Reservation:
     tokens = 300
 
     def __init__(self):
@@ -63,14 +63,14 @@
     run = RequestRun(
         SimpleNamespace(arrived=0.0), request, None, SimpleNamespace(timeout=1.0), None
     )
-    run.reservation = Cover()
+    run.reservation = Reservation()
     run.attempts, run.may_have_run, run.events, run.last_id = 1, True, 3, 3
     return run
 
 
-def settle(run, connection, answered=True, heard=None):
-    hear = [].append if heard is None else heard.append
-    settle_abandoned_run(run, POOL, connection, Dialect(), hear, answered)
+def settle(run, connection, answered=True, statements=None):
+    on_statement = [].append if statements is None else statements.append
+    settle_abandoned_run(run, POOL, connection, Dialect(), on_statement, answered)
     assert connection.finished_sending
     return run.reservation.billed
 
@@ -99,10 +99,10 @@
 
 def test_a_request_that_the_target_did_not_run_is_not_billed(run):
     refused = Connection(head=ResponseHead(503, []))
-    heard = []
-    assert settle(run, refused, answered=False, heard=heard) is None
+    statements = []
+    assert settle(run, refused, answered=False, statements=statements) is None
     assert not run.may_have_run
-    assert heard == [TargetStatement(did_not_run=True)]
+    assert statements == [TargetStatement(did_not_run=True)]
 
 
 def test_no_more_than_the_reservation_is_billed(run):
--- a/whinrack/dispatch/tests/test_choice_and_send.py
+++ b/whinrack/dispatch/tests/test_choice_and_send.py
@@ -39,15 +39,15 @@
 
 
 class SlowConnections:
-    """Stand-in for connections that open slowly, while `meanwhile` is called."""
+    """Stand-in for connections that open slowly, while `on_open` is called."""
 
-    def __init__(self, meanwhile):
-        self.meanwhile = meanwhile
-        self.taken, self.sent = [], []
+    def __init__(self, on_open):
+        self.on_open = on_open
+        self.opened, self.sent = [], []
 
     def take(self, address, end):
-        self.taken.append(address)
-        self.meanwhile(address)
+        self.opened.append(address)
+        self.on_open(address)
         return Connection(address, self.sent)
 
     def give_back(self, connection):
@@ -99,14 +99,14 @@
         TargetsView,
         lambda *moved: None,
     )
-    began = steady()
+    started_at = steady()
     with pytest.raises(TargetUnavailable) as refused:
         dispatcher._attempt_all(run)
     assert refused.value.outcome == "not_run"
-    assert sorted(connections.taken) == [("h", 1), ("h", 2)]
+    assert sorted(connections.opened) == [("h", 1), ("h", 2)]
     assert connections.sent == []
     assert (run.attempts, run.may_have_run) == (0, False)
-    assert steady() - began < 1.0
+    assert steady() - started_at < 1.0
 
 
 def test_a_target_that_states_a_limit_while_its_connection_opens_gets_no_more(run):
--- a/whinrack/dispatch/tests/test_crash_detector.py
+++ b/whinrack/dispatch/tests/test_crash_detector.py
@@ -24,12 +24,12 @@
         self.ends.append((end, runs))
 
 
-class World:
+class Harness:
     """One target, the result of probing its address, and the reports to the quarantine."""
 
     def __init__(self):
         self.presence = Presence.ENDED
-        self.asked = []
+        self.probed = []
         self.guard = Guard()
         self.registry = TargetRegistry()
         self.ends = CrashDetector(self.registry, self.guard, self.probe_address)
@@ -37,21 +37,21 @@
         (self.state,) = self.registry.targets_in_pool("p")
 
     def probe_address(self, address):
-        self.asked.append(address)
+        self.probed.append(address)
         return self.presence
 
-    def cut(self, meanwhile=lambda: None, seconds=0.5):
+    def cut(self, before_recheck=lambda: None, seconds=0.5):
         for request in REQUESTS:
             self.ends.record_cut(self.state, request)
         eventlet.sleep(0.1)
-        meanwhile()
+        before_recheck()
         eventlet.sleep(seconds)
         return self.guard.ends
 
 
 @pytest.fixture
-def world():
-    return World()
+def harness():
+    return Harness()
 
 
 @pytest.fixture
@@ -71,52 +71,52 @@
     assert probe_address(address) is Presence.ENDED
 
 
-def test_simultaneous_cuts_cause_one_probe_and_one_report(world):
-    assert world.cut() == [(TargetEnd("t", 7), REQUESTS)]
-    assert len(world.asked) == 1
+def test_simultaneous_cuts_cause_one_probe_and_one_report(harness):
+    assert harness.cut() == [(TargetEnd("t", 7), REQUESTS)]
+    assert len(harness.probed) == 1
 
 
-def test_a_target_that_still_listens_has_not_crashed(world):
-    world.presence = Presence.HERE
-    assert world.cut() == []
+def test_a_target_that_still_listens_has_not_crashed(harness):
+    harness.presence = Presence.HERE
+    assert harness.cut() == []
 
 
-def test_a_broken_link_is_no_evidence_of_a_crash(world):
-    world.presence = Presence.UNKNOWN
-    assert world.cut() == []
+def test_a_broken_link_is_no_evidence_of_a_crash(harness):
+    harness.presence = Presence.UNKNOWN
+    assert harness.cut() == []
 
 
-def test_a_target_that_refuses_connections_while_requests_run_has_not_crashed(world):
-    world.registry.begin_request(world.state)
-    assert world.cut() == []
-    world.registry.end_request(world.state)
+def test_a_target_that_refuses_connections_while_requests_run_has_not_crashed(harness):
+    harness.registry.begin_request(harness.state)
+    assert harness.cut() == []
+    harness.registry.end_request(harness.state)
     eventlet.sleep(0.5)
-    assert len(world.guard.ends) == 1
+    assert len(harness.guard.ends) == 1
 
 
-def test_a_crashed_target_is_unavailable_for_a_while(world):
-    world.cut()
-    assert not world.state.is_available(steady())
+def test_a_crashed_target_is_unavailable_for_a_while(harness):
+    harness.cut()
+    assert not harness.state.is_available(steady())
 
 
-def test_the_end_of_a_leaving_target_is_planned(world):
-    world.registry.mark_leaving("t")
-    assert world.cut() == []
+def test_the_end_of_a_leaving_target_is_planned(harness):
+    harness.registry.mark_leaving("t")
+    assert harness.cut() == []
 
 
-def test_another_target_at_the_same_address_reveals_a_crash(world):
-    world.presence = Presence.HERE
+def test_another_target_at_the_same_address_reveals_a_crash(harness):
+    harness.presence = Presence.HERE
     successor = TargetRecord("u", "p", "h", 1, started=9)
-    assert len(world.cut(lambda: world.registry.put(successor))) == 1
+    assert len(harness.cut(lambda: harness.registry.put(successor))) == 1
 
 
-def test_an_unreachable_target_whose_record_expires_has_crashed(world):
-    world.presence = Presence.UNKNOWN
-    world.registry.begin_request(world.state)
-    assert len(world.cut(lambda: world.registry.remove("t"))) == 1
+def test_an_unreachable_target_whose_record_expires_has_crashed(harness):
+    harness.presence = Presence.UNKNOWN
+    harness.registry.begin_request(harness.state)
+    assert len(harness.cut(lambda: harness.registry.remove("t"))) == 1
 
 
-def test_a_listening_target_whose_record_is_removed_leaves_as_planned(world):
-    world.presence = Presence.HERE
-    world.registry.begin_request(world.state)
-    assert world.cut(lambda: world.registry.remove("t")) == []
+def test_a_listening_target_whose_record_is_removed_leaves_as_planned(harness):
+    harness.presence = Presence.HERE
+    harness.registry.begin_request(harness.state)
+    assert harness.cut(lambda: harness.registry.remove("t")) == []
--- a/whinrack/dispatch/tests/test_decisions.py
+++ b/whinrack/dispatch/tests/test_decisions.py
@@ -66,17 +66,17 @@
 
 
 def test_only_newer_configuration_versions_take_effect():
-    taken = []
-    directory = CurrentConfiguration(lambda config: taken.append(config.version))
+    applied = []
+    current = CurrentConfiguration(lambda config: applied.append(config.version))
     with pytest.raises(ConfigurationUnknown):
-        directory.get()
-    assert [directory.update(configuration(version)) for version in (3, 2, 3, 7)] == [
+        current.get()
+    assert [current.update(configuration(version)) for version in (3, 2, 3, 7)] == [
         True,
         False,
         False,
         True,
     ]
-    assert (directory.version, taken) == (7, [3, 7])
+    assert (current.version, applied) == (7, [3, 7])
 
 
 def record(name, leaving=False, port=1):
@@ -84,9 +84,9 @@
 
 
 def registry(*names):
-    found = TargetRegistry(seed=1)
-    found.replace_all([record(name) for name in names])
-    return found
+    targets = TargetRegistry(seed=1)
+    targets.replace_all([record(name) for name in names])
+    return targets
 
 
 def choose(targets, affinity="", tried=(), now=0.0):
@@ -217,13 +217,13 @@
 
 
 def test_retries_are_limited_to_a_ratio_of_the_requests_in_the_window():
-    allowance = RetryBudget(ratio=0.2, slack=0.0, window=10.0)
+    budget = RetryBudget(ratio=0.2, slack=0.0, window=10.0)
     for _ in range(100):
-        allowance.record_request(0.0)
-    taken = sum(allowance.try_take(1.0, instances=3) for _ in range(50))
-    assert 1 <= taken <= 20
-    assert not allowance.try_take(2.0, instances=3)
-    assert allowance.try_take(11.5, instances=3), "one retry is always permitted"
+        budget.record_request(0.0)
+    permitted = sum(budget.try_take(1.0, instances=3) for _ in range(50))
+    assert 1 <= permitted <= 20
+    assert not budget.try_take(2.0, instances=3)
+    assert budget.try_take(11.5, instances=3), "one retry is always permitted"
 
 
 @pytest.mark.parametrize("size", [1, 2, 3, 7, 1000])
--- a/whinrack/dispatch/tests/test_emptied_halls.py
+++ b/whinrack/dispatch/tests/test_emptied_halls.py
@@ -5,7 +5,7 @@
 from whinrack.dispatch import EmptiedHalls, HallStatus, PoolRecord, TargetRecord, TargetRegistry
 from whinrack.dispatch._refusals import BUSY_RETRY_SECONDS, pool_refusal
 
-WORDS = (
+STATUSES = (
     HallStatus("z", 5, True),
     HallStatus("z", 5, False),
     HallStatus("z", 8, True),
@@ -13,20 +13,20 @@
 )
 
 
-def learn_all(words):
+def apply_all(statuses_in_order):
     halls = EmptiedHalls()
-    for word in words:
-        halls.update(word)
+    for status in statuses_in_order:
+        halls.update(status)
     return halls
 
 
 def test_the_latest_status_wins_in_any_order_of_arrival():
-    for words in itertools.permutations(WORDS):
-        assert learn_all(words).names == {"z", "y"}
+    for statuses_in_order in itertools.permutations(STATUSES):
+        assert apply_all(statuses_in_order).names == {"z", "y"}
 
 
 def test_an_older_status_changes_nothing():
-    halls = learn_all(WORDS)
+    halls = apply_all(STATUSES)
     assert not halls.update(HallStatus("z", 7, False))
     assert halls.update(HallStatus("z", 8, False))
     assert not halls.update(HallStatus("z", 8, True))
@@ -34,7 +34,7 @@
 
 
 def test_a_list_releases_missing_halls_unless_their_status_is_newer():
-    halls = learn_all(WORDS)
+    halls = apply_all(STATUSES)
     assert halls.released_by_list({"y"}, 7) == []
     assert halls.released_by_list({"y"}, 8) == [HallStatus("z", 8, False)]
     assert halls.released_by_list({"y", "z"}, 9) == []
--- a/whinrack/dispatch/tests/test_engine_choice.py
+++ b/whinrack/dispatch/tests/test_engine_choice.py
@@ -52,9 +52,9 @@
 
 def test_a_prompt_counts_until_it_is_finished_and_only_once():
     (state,) = registry(1).targets_in_pool("p")
-    reading, other = PendingPrompt(state, 700), PendingPrompt(state, 50)
-    reading.finish()
-    reading.finish()
+    pending, other = PendingPrompt(state, 700), PendingPrompt(state, 50)
+    pending.finish()
+    pending.finish()
     assert state.unread_tokens == 50
     other.finish()
     assert state.unread_tokens == 0
@@ -70,7 +70,7 @@
     """
 
     is_long: bool
-    thing: int
+    topic: int
     tokens: int
     shared: int
 
@@ -85,87 +85,92 @@
     PROMPTS_A_SECOND, TOKENS_A_SECOND = 330.0, 40_000.0
     FIRST_TOKEN, ANSWER = 0.016, 0.4
 
-    def __init__(self, by_work):
-        self.by_work = by_work
-        self.chance = random.Random(1)
+    def __init__(self, by_backlog):
+        self.by_backlog = by_backlog
+        self.random_source = random.Random(1)
         self.registries = [registry(self.ENGINES) for _ in range(self.INSTANCES)]
         self.free_at = [0.0] * self.ENGINES
-        self.held = [set() for _ in range(self.ENGINES)]
-        self.waited = {True: [], False: []}
+        self.cached = [set() for _ in range(self.ENGINES)]
+        self.first_token_seconds = {True: [], False: []}
         self._numbers = itertools.count()
         self._events = []
 
-    def play(self):
-        self._plan()
+    def run(self):
+        self._schedule_all()
         while self._events:
-            now, _, happen, *about = heapq.heappop(self._events)
-            happen(now, *about)
+            now, _, callback, *arguments = heapq.heappop(self._events)
+            callback(now, *arguments)
         return self
 
     def in_time(self, is_long):
         """Return the fraction of prompts whose first token arrived within 0.8 s."""
-        waited = self.waited[is_long]
-        return sum(seconds <= 0.8 for seconds in waited) / len(waited)
+        first_token_seconds = self.first_token_seconds[is_long]
+        return sum(seconds <= 0.8 for seconds in first_token_seconds) / len(first_token_seconds)
 
-    def _plan(self):
+    def _schedule_all(self):
         now = 0.0
         while now < self.SECONDS:
-            now += self.chance.expovariate(self.PROMPTS_A_SECOND)
-            self._at(now, self._arrive, self._prompt(), self.chance.randrange(self.INSTANCES))
+            now += self.random_source.expovariate(self.PROMPTS_A_SECOND)
+            self._schedule(
+                now, self._arrive, self._prompt(), self.random_source.randrange(self.INSTANCES)
+            )
         for instance in range(self.INSTANCES):
-            told = self.chance.random() / 2
-            while told < self.SECONDS + 1.0:
-                self._at(told, self._tell, instance)
-                told += 0.5
+            report_at = self.random_source.random() / 2
+            while report_at < self.SECONDS + 1.0:
+                self._schedule(report_at, self._share_loads, instance)
+                report_at += 0.5
 
     def _prompt(self):
-        kind = self.chance.choices((0, 1, 2), (53.5, 70.5, 81.5))[0]
+        kind = self.random_source.choices((0, 1, 2), (53.5, 70.5, 81.5))[0]
         if kind == 0:
             shared = 512 + self._length(4870, 0.7, 14_600)
-            thing, own = self.chance.randrange(910), self._length(6610, 1.4, 54_600)
+            topic, own = self.random_source.randrange(910), self._length(6610, 1.4, 54_600)
         elif kind == 1:
-            shared, thing = 198, 1000 + self.chance.randrange(801)
+            shared, topic = 198, 1000 + self.random_source.randrange(801)
             own = self._length(628, 1.0, 3310)
         else:
-            shared, thing = 568, 2000 + self.chance.randrange(925)
+            shared, topic = 568, 2000 + self.random_source.randrange(925)
             own = self._length(1800, 1.3, 6870)
-        return Prompt(kind == 0, thing, shared + own, shared)
+        return Prompt(kind == 0, topic, shared + own, shared)
 
     def _length(self, mean, spread, most):
-        drawn = self.chance.lognormvariate(math.log(mean) - spread * spread / 2, spread)
+        drawn = self.random_source.lognormvariate(math.log(mean) - spread * spread / 2, spread)
         return int(min(most, drawn))
 
-    def _at(self, moment, happen, *about):
-        heapq.heappush(self._events, (moment, next(self._numbers), happen, *about))
+    def _schedule(self, time, callback, *arguments):
+        heapq.heappush(self._events, (time, next(self._numbers), callback, *arguments))
 
     def _arrive(self, now, prompt, instance):
         targets = self.registries[instance]
-        need = PromptSize(prompt.tokens, prompt.shared) if self.by_work else None
-        state = targets.choose("p", str(prompt.thing), (), now, uses_remote_loads=True, prompt=need)
+        need = PromptSize(prompt.tokens, prompt.shared) if self.by_backlog else None
+        state = targets.choose("p", str(prompt.topic), (), now, uses_remote_loads=True, prompt=need)
         targets.begin_request(state)
-        reading = PendingPrompt(state, prompt.tokens)
+        pending = PendingPrompt(state, prompt.tokens)
         number = state.record.port
-        unread = prompt.tokens - (prompt.shared if prompt.thing in self.held[number] else 0)
-        self.held[number].add(prompt.thing)
+        unread = prompt.tokens - (prompt.shared if prompt.topic in self.cached[number] else 0)
+        self.cached[number].add(prompt.topic)
         read = max(now, self.free_at[number]) + unread / self.TOKENS_A_SECOND
         self.free_at[number] = read
         first = read + self.FIRST_TOKEN
-        self.waited[prompt.is_long].append(first - now)
-        self._at(first, lambda _: reading.finish())
-        self._at(first + self.ANSWER, lambda _: targets.end_request(state))
+        self.first_token_seconds[prompt.is_long].append(first - now)
+        self._schedule(first, lambda _: pending.finish())
+        self._schedule(first + self.ANSWER, lambda _: targets.end_request(state))
 
-    def _tell(self, now, instance):
-        told = self.registries[instance]
-        for number, other in enumerate(self.registries):
+    def _share_loads(self, now, instance):
+        sender_registry = self.registries[instance]
+        for number, receiver_registry in enumerate(self.registries):
             if number != instance:
-                other.remote_loads.update(
-                    str(instance), told.requests_by_target(), now, told.unread_tokens()
+                receiver_registry.remote_loads.update(
+                    str(instance),
+                    sender_registry.requests_by_target(),
+                    now,
+                    sender_registry.unread_tokens(),
                 )
 
 
 def test_choosing_by_backlog_beats_choosing_by_requests_in_a_burst():
     """At 1.7 times the usual load, with engines that are slower by a third."""
-    by_work, by_requests = Burst(by_work=True).play(), Burst(by_work=False).play()
+    by_backlog, by_requests = Burst(by_backlog=True).run(), Burst(by_backlog=False).run()
     for is_long, least in ((True, 0.87), (False, 0.95)):
-        assert by_work.in_time(is_long) >= least
-        assert by_work.in_time(is_long) >= by_requests.in_time(is_long) + 0.04
+        assert by_backlog.in_time(is_long) >= least
+        assert by_backlog.in_time(is_long) >= by_requests.in_time(is_long) + 0.04
--- a/whinrack/dispatch/tests/test_limited_fleet.py
+++ b/whinrack/dispatch/tests/test_limited_fleet.py
@@ -10,20 +10,20 @@
 from whinrack.dispatch import NO_LIMIT
 from whinrack.dispatch.tests.limited_fleet import Fleet, most_in_window
 
-_CONTACT_SECONDS = 3.0
-_LEAST_USED = 0.6
+_LEARNING_SECONDS = 3.0
+_MIN_UTILIZATION = 0.6
 # Requests per second from the callers of each instance, by number of instances.
 _DEMAND = {8: 8.0, 20: 8.0, 87: 8.0, 200: 3.0}
 SIZES = (8, 87, 200)
 
 
-def most_allowed(limit):
+def max_requests(limit):
     return 1.5 * limit * 4.0 + 5.0
 
 
 def assert_bound_holds(fleet, limits, since):
     for limit, times in zip(limits, fleet.since(since), strict=True):
-        assert most_in_window(times) <= most_allowed(limit), limit
+        assert most_in_window(times) <= max_requests(limit), limit
 
 
 @pytest.mark.parametrize("count", SIZES)
@@ -32,18 +32,18 @@
     limits = [limit] * 3
     fleet = Fleet(count, limits, demand=_DEMAND[count])
     fleet.run(23.0)
-    assert_bound_holds(fleet, limits, _CONTACT_SECONDS)
-    used = sum(map(len, fleet.since(_CONTACT_SECONDS)))
-    assert used >= _LEAST_USED * limit * len(limits) * 20.0 - len(limits)
+    assert_bound_holds(fleet, limits, _LEARNING_SECONDS)
+    used = sum(map(len, fleet.since(_LEARNING_SECONDS)))
+    assert used >= _MIN_UTILIZATION * limit * len(limits) * 20.0 - len(limits)
 
 
 def test_nearly_all_requests_are_served_if_the_limits_exceed_the_demand():
     """Callers send 24 requests per second and the targets accept 30."""
     fleet = Fleet(8, [10.0] * 3, demand=3.0)
     fleet.run(23.0)
-    served = sum(map(len, fleet.since(_CONTACT_SECONDS)))
+    served = sum(map(len, fleet.since(_LEARNING_SECONDS)))
     assert served >= 0.8 * 24.0 * 20.0
-    assert_bound_holds(fleet, [10.0] * 3, _CONTACT_SECONDS)
+    assert_bound_holds(fleet, [10.0] * 3, _LEARNING_SECONDS)
 
 
 @pytest.mark.parametrize("seed", range(4))
@@ -55,7 +55,7 @@
         known = {name, *fleet.random.sample(fleet.names, 7)}
         instance.registry.rate_permits.members = lambda known=known: frozenset(known)
     fleet.run(23.0)
-    assert_bound_holds(fleet, limits, _CONTACT_SECONDS)
+    assert_bound_holds(fleet, limits, _LEARNING_SECONDS)
 
 
 @pytest.mark.parametrize("count", SIZES)
@@ -63,12 +63,12 @@
     limits = [0.2, 1.0, 3.0]
     fleet = Fleet(count, limits, demand=_DEMAND[count])
     fleet.run(5.0)
-    fleet.cut(fleet.names[: count // 2])
+    fleet.split(fleet.names[: count // 2])
     fleet.run(40.0)
-    assert_bound_holds(fleet, limits, _CONTACT_SECONDS)
+    assert_bound_holds(fleet, limits, _LEARNING_SECONDS)
     fleet.heal()
     fleet.run(46.0)
-    assert_bound_holds(fleet, limits, _CONTACT_SECONDS)
+    assert_bound_holds(fleet, limits, _LEARNING_SECONDS)
 
 
 @pytest.mark.parametrize("count", SIZES)
@@ -82,7 +82,7 @@
         fleet.instances[fleet.random.choice(fleet.names)].start()
         fleet.run(6.5 + number)
     fleet.run(24.0)
-    assert_bound_holds(fleet, limits, _CONTACT_SECONDS)
+    assert_bound_holds(fleet, limits, _LEARNING_SECONDS)
 
 
 @pytest.mark.parametrize("count", SIZES)
@@ -93,7 +93,7 @@
     for instance in fleet.instances.values():
         instance.start()
     fleet.run(20.0)
-    assert_bound_holds(fleet, limits, 6.0 + _CONTACT_SECONDS)
+    assert_bound_holds(fleet, limits, 6.0 + _LEARNING_SECONDS)
 
 
 @pytest.mark.parametrize("count", SIZES)
@@ -102,9 +102,9 @@
     fleet = Fleet(count, limits, demand=_DEMAND[count])
     fleet.run(6.0)
     for name in fleet.names:
-        fleet.held_up[name] = 14.0
+        fleet.delayed_until[name] = 14.0
     fleet.run(24.0)
-    assert_bound_holds(fleet, limits, _CONTACT_SECONDS)
+    assert_bound_holds(fleet, limits, _LEARNING_SECONDS)
 
 
 @pytest.mark.parametrize("count", SIZES)
@@ -137,7 +137,7 @@
     assert len(fleet.instances["m0"].registry.stated_limits.limited_targets()) == len(fleet.targets)
     for name in holders:
         # No request of a holder arrives.
-        fleet.held_up[name] = 1000.0
+        fleet.delayed_until[name] = 1000.0
     for target in fleet.targets:
         target.limit = NO_LIMIT
     fleet.run(45.0)
@@ -154,8 +154,8 @@
             target.limit = limit * (2.0 if number % 2 else 1.0)
         fleet.run(12.0 + 4.0 * number)
     # The lower of both, for each window that may lie in both.
-    for limit, times in zip(limits, fleet.since(_CONTACT_SECONDS), strict=True):
-        assert most_in_window(times) <= most_allowed(2.0 * limit)
+    for limit, times in zip(limits, fleet.since(_LEARNING_SECONDS), strict=True):
+        assert most_in_window(times) <= max_requests(2.0 * limit)
     for target, limit in zip(fleet.targets, limits, strict=True):
         target.limit = limit
     fleet.run(60.0)
--- a/whinrack/dispatch/tests/test_shared_rates.py
+++ b/whinrack/dispatch/tests/test_shared_rates.py
@@ -12,13 +12,13 @@
 SECONDS = 8.0
 # Time between two attempts to get a permit, as a fraction of the time between permits. An instance
 # gains nothing by waiting longer.
-STEP_PART = 0.02
+STEP_FRACTION = 0.02
 # Interval at which the holders are determined again, for views that change.
-LOOK_SECONDS = 0.1
+HOLDER_UPDATE_SECONDS = 0.1
 NAMES = [f"m{number}" for number in range(87)]
 
 
-def press(views, rate, target="t"):
+def send_all(views, rate, target="t"):
     """Let each instance send whenever it has a permit.
 
     Parameters
@@ -31,19 +31,19 @@
     list of float
         The times of all sent requests.
     """
-    now, looked_at = 0.0, -1.0
+    now, holders_updated_at = 0.0, -1.0
     bound = LIMITS.rate_bound(rate)
     permits = [SharedRatePermits(name, lambda view=view: view(now)) for name, view in views.items()]
     sends = []
     while now < SECONDS:
-        if now - looked_at >= LOOK_SECONDS:
-            looked_at = now
-            holders = [one for one in permits if one.held_shares({target: bound})]
-        for one in holders:
-            while one.has_permit(target, bound, now):
-                one.take_permit(target, bound, now)
+        if now - holders_updated_at >= HOLDER_UPDATE_SECONDS:
+            holders_updated_at = now
+            holders = [holder for holder in permits if holder.held_shares({target: bound})]
+        for holder in holders:
+            while holder.has_permit(target, bound, now):
+                holder.take_permit(target, bound, now)
                 sends.append(now)
-        now += STEP_PART / rate
+        now += STEP_FRACTION / rate
     return sends
 
 
@@ -51,7 +51,7 @@
     return max((sum(0.0 <= at - first < 1.0 for at in sends) for first in sends), default=0)
 
 
-def agreeing(count):
+def equal_views(count):
     members = NAMES[:count]
     return {name: lambda now: members for name in members}
 
@@ -59,7 +59,7 @@
 @pytest.mark.parametrize("rate", RATES)
 @pytest.mark.parametrize("count", [1, 2, 3, 6, 20, 87])
 def test_instances_with_equal_views_use_the_rate_within_the_bound(rate, count):
-    sends = press(agreeing(count), rate)
+    sends = send_all(equal_views(count), rate)
     assert most_in_a_second(sends) <= LIMITS.rate_bound(rate).max_requests
     assert len(sends) >= 0.75 * rate * SECONDS - 1
 
@@ -68,19 +68,19 @@
 def test_a_partitioned_fleet_stays_within_the_bound(rate):
     halves = (NAMES[:40], NAMES[40:])
     views = {name: lambda now, half=half: half for half in halves for name in half}
-    assert most_in_a_second(press(views, rate)) <= LIMITS.rate_bound(rate).max_requests
+    assert most_in_a_second(send_all(views, rate)) <= LIMITS.rate_bound(rate).max_requests
 
 
 @pytest.mark.parametrize("seed", range(8))
 def test_instances_with_outdated_views_stay_within_the_bound(seed):
     """Each view lacks some new members and includes some former ones."""
-    draw = random.Random(seed)
+    random_source = random.Random(seed)
     serving = NAMES[:8]
     views = {}
     for name in serving:
-        known = {name, *draw.sample(serving, 6), *draw.sample(NAMES[8:], 3)}
+        known = {name, *random_source.sample(serving, 6), *random_source.sample(NAMES[8:], 3)}
         views[name] = lambda now, known=known: known
-    assert most_in_a_second(press(views, 9.9)) <= LIMITS.rate_bound(9.9).max_requests
+    assert most_in_a_second(send_all(views, 9.9)) <= LIMITS.rate_bound(9.9).max_requests
 
 
 def test_changing_members_stay_within_the_bound():
@@ -91,18 +91,18 @@
 
     halves = (NAMES[:3], NAMES[3:6])
     views = {name: view_of(half) for half in halves for name in half}
-    assert most_in_a_second(press(views, 9.9)) <= LIMITS.rate_bound(9.9).max_requests
+    assert most_in_a_second(send_all(views, 9.9)) <= LIMITS.rate_bound(9.9).max_requests
 
 
 def test_instances_without_known_members_send_nothing():
-    assert press({name: lambda now: () for name in NAMES}, 9.9) == []
+    assert send_all({name: lambda now: () for name in NAMES}, 9.9) == []
 
 
 def test_a_restart_adds_one_request_at_most():
     """The bucket of a restarted instance is full; all holders restart at once."""
-    views = agreeing(6)
-    before = press(views, 9.9)
-    again = [SECONDS + at for at in press(views, 9.9)]
+    views = equal_views(6)
+    before = send_all(views, 9.9)
+    again = [SECONDS + at for at in send_all(views, 9.9)]
     assert most_in_a_second(before + again) <= LIMITS.rate_bound(9.9).max_requests
 
 
--- a/whinrack/dispatch/tests/test_target_starts.py
+++ b/whinrack/dispatch/tests/test_target_starts.py
@@ -67,7 +67,9 @@
     state.ejection.record_unreachable(NOW)
     assert chosen(registry, tried=["other@5"]) == 5
     registry.put(record(6))
-    (current,) = [one for one in registry.targets_in_pool("p") if one.record.incarnation == "t"]
+    (current,) = [
+        state for state in registry.targets_in_pool("p") if state.record.incarnation == "t"
+    ]
     assert current.is_available(NOW)
 
 
