--- a/whinrack/dispatch/_statements.py
+++ b/whinrack/dispatch/_statements.py
@@ -107,8 +107,8 @@
         if not self.registry.mark_leaving(record.incarnation, record.started):
             return
         log_event(Event.TARGET_LEAVING, target=record.incarnation, source="answer", request=request)
-        for heard in self.registry.on_target_leaving:
-            heard()
+        for callback in self.registry.on_target_leaving:
+            callback()
 
     def _handle_backoff(self, state: TargetState, seconds: float, request: str) -> None:
         record, now = state.record, self.registry.clock()
