--- a/whinrack/dispatch/_abandoned_runs.py
+++ b/whinrack/dispatch/_abandoned_runs.py
@@ -1,61 +1,61 @@
-"""What a target handed out in a run whose caller left, learnt from its own end.
+"""Billing of runs whose caller has disconnected.
 
-The sending side of its connection is closed; a target that notices stops and closes its
-side. All that it handed out has arrived by then, so the run is billed by that. Without such
-an end within a moment nothing is known, and the cover counts in full.
+The sending side of the target's connection is closed. A target that notices this stops and closes
+its side; by then, everything that it generated has arrived, and the run is billed by that. If the
+target does not close the connection in time, the use is unknown and the whole reservation counts.
 """
 
 from collections.abc import Callable
 
 from whinrack.clock import steady
 from whinrack.dispatch._events import event_blocks
-from whinrack.dispatch._request_run import Run
+from whinrack.dispatch._request_run import RequestRun
 from whinrack.dispatch._statements import TargetStatement
 from whinrack.dispatch._values import PoolRecord
 from whinrack.dispatch.base import Dialect
 from whinrack.exceptions import AnswerCut, AttemptTimeout
 from whinrack.http1 import TargetConnection
 
-__all__ = ["settle_by_last_words"]
+__all__ = ["settle_abandoned_run"]
 
-# A target has to have noticed that its caller left within half a second.
-_LAST_WORDS_SECONDS = 0.3
+# Targets are required to notice within half a second that the caller has disconnected.
+_END_WAIT_SECONDS = 0.3
 
 
-def settle_by_last_words(
-    run: Run,
+def settle_abandoned_run(
+    run: RequestRun,
     pool: PoolRecord,
     connection: TargetConnection,
     dialect: Dialect,
-    hear: Callable[[TargetStatement], None],
-    answered: bool,
+    on_statement: Callable[[TargetStatement], None],
+    has_head: bool,
 ) -> None:
-    """Bill a run whose caller left, if its target ends it; else leave it unsettled.
+    """Bill a run whose caller has disconnected if its target ends it, else leave it unsettled.
 
     Parameters
     ----------
-    hear : callable
-        Told what the target states, if the head of its answer comes now.
-    answered : bool
-        The head of the answer has been read.
+    on_statement : callable
+        Called with the target's statement if the head of the answer arrives now.
+    has_head : bool
+        Whether the head of the answer has been read already.
     """
     connection.finish_sending()
-    end = steady() + _LAST_WORDS_SECONDS
+    deadline = steady() + _END_WAIT_SECONDS
     try:
-        if not answered:
+        if not has_head:
             head = connection.read_head(
-                end, lambda headers: dialect.is_response_to(run.request, headers)
+                deadline, lambda headers: dialect.is_response_to(run.request, headers)
             )
             statement = dialect.parse_statement(head)
-            hear(statement)
+            on_statement(statement)
             if statement.did_not_run:
                 run.may_have_run = run.attempts > 1
                 return
-        for block in event_blocks(connection.pieces(end), run.last_id):
+        for block in event_blocks(connection.pieces(deadline), run.last_id):
             run.events += block.count
     except AnswerCut:
         if not connection.ended:
             return
     except AttemptTimeout:
         return
-    run.settle_ended(pool)
+    run.settle_partial(pool)
--- a/whinrack/dispatch/_attempts.py
+++ b/whinrack/dispatch/_attempts.py
@@ -1,20 +1,20 @@
-"""One attempt of a request at one target, and what it tells of the target."""
+"""Sends a request to one target, relays its answer and records the outcome for the target."""
 
 import sys
 from collections.abc import Callable
 
 from whinrack.clock import steady
-from whinrack.dispatch._abandoned_runs import settle_by_last_words
+from whinrack.dispatch._abandoned_runs import settle_abandoned_run
 from whinrack.dispatch._answer_times import AnswerTimes
 from whinrack.dispatch._answers import AnswerRelay
-from whinrack.dispatch._open_connections import ConnectionsUnderWay
-from whinrack.dispatch._refusals import no_target, target_full, why_nobody
+from whinrack.dispatch._crash_detector import CrashDetector
+from whinrack.dispatch._open_connections import OpenConnections
+from whinrack.dispatch._refusals import no_target_refusal, pool_refusal, target_full_refusal
 from whinrack.dispatch._registry import TargetRegistry
-from whinrack.dispatch._request_run import Run
-from whinrack.dispatch._retries import RetryAllowances
-from whinrack.dispatch._statements import StatementIntake, TargetStatement
-from whinrack.dispatch._target_ends import TargetEnds
-from whinrack.dispatch._target_state import Reading, TargetState
+from whinrack.dispatch._request_run import RequestRun
+from whinrack.dispatch._retries import RetryBudgets
+from whinrack.dispatch._statements import StatementHandler, TargetStatement
+from whinrack.dispatch._target_state import PendingPrompt, TargetState
 from whinrack.dispatch._values import Attempt, PoolRecord, RouteKind, TargetsView
 from whinrack.dispatch.base import Dialect
 from whinrack.exceptions import (
@@ -32,47 +32,47 @@
     "TIMEOUT_MARGIN",
     "AttemptFailed",
     "AttemptRunner",
-    "NobodyTakesIt",
+    "NoTargetAvailable",
 ]
 
 _OK = 200
 _SERVER_ERROR = 500
-# Part of the connections that a target accepts which all instances together use.
-_CONNECTION_PART = 0.9
-_LEAST_IN_FLIGHT = 2
-# A target is told a little less time than is left, so that its own word can arrive; seconds.
+# Fraction of a target's connection limit that all instances together may use.
+_CONNECTION_FRACTION = 0.9
+_MIN_IN_FLIGHT = 2
+# Seconds subtracted from the time left, so that the target's own timeout response can arrive.
 TIMEOUT_MARGIN = 0.05
-# What moves between this instance and targets, as the traffic is counted.
+# Labels under which bytes sent to and received from targets are counted.
 _REQUESTS = "request"
 _ANSWERS = "answer"
 
 
 class AttemptFailed(Exception):
-    """An attempt that gave the caller no answer.
+    """Raised when an attempt ends before the caller has received an answer.
 
     Attributes
     ----------
     refusal : Refusal
-        What the caller is told if there is no further attempt.
-    counts : bool
-        Whether the target was sent anything.
+        The refusal returned to the caller if no further attempt is made.
+    was_sent : bool
+        Whether the request was sent to the target.
     """
 
-    def __init__(self, refusal: Refusal, counts: bool):
+    def __init__(self, refusal: Refusal, was_sent: bool):
         super().__init__(refusal.message)
         self.refusal = refusal
-        self.counts = counts
+        self.was_sent = was_sent
 
 
-class NobodyTakesIt(AttemptFailed):
-    """No target of the pool takes a request now; asking again at once changes nothing."""
+class NoTargetAvailable(AttemptFailed):
+    """Raised when no target of the pool accepts a request; an immediate retry cannot succeed."""
 
     def __init__(self, refusal: Refusal):
-        super().__init__(refusal, counts=False)
+        super().__init__(refusal, was_sent=False)
 
 
 class AttemptRunner:
-    """Sends requests to targets and relays their answers.
+    """Runs single attempts of requests at targets and relays their answers.
 
     Parameters
     ----------
@@ -80,16 +80,17 @@
     registry : TargetRegistry
     connections : ConnectionPool
     answers : AnswerRelay
-    allowances : RetryAllowances
+    retry_budgets : RetryBudgets
     metrics : Metrics
-    instances : callable
-        Returns the number of instances that share the targets' connections.
+    instance_count : callable
+        Returns the number of instances that share the targets' connection limits.
     targets_view : callable
-        Returns how up to date the registry is, for the log.
-    moved : callable
-        Told what moved to and from a target: what it is, the target's data hall, its bytes.
+        Returns the revision and age of the registry's target list, for the log.
+    record_traffic : callable
+        Called with the kind of traffic, the target's data hall and the number of bytes sent to
+        or received from the target.
     guard : RunGuard, optional
-        Told how runs end.
+        Notified of how runs end.
     """
 
     def __init__(
@@ -98,174 +99,184 @@
         registry: TargetRegistry,
         connections: ConnectionPool,
         answers: AnswerRelay,
-        allowances: RetryAllowances,
+        retry_budgets: RetryBudgets,
         metrics: Metrics,
-        instances: Callable[[], int],
+        instance_count: Callable[[], int],
         targets_view: Callable[[], TargetsView],
-        moved: Callable[[str, str, int], None],
+        record_traffic: Callable[[str, str, int], None],
         guard: RunGuard | None = None,
     ):
         self.dialect = dialect
         self.registry = registry
         self.connections = connections
         self.answers = answers
-        self.allowances = allowances
+        self.retry_budgets = retry_budgets
         self.metrics = metrics
-        self.instances = instances
+        self.instance_count = instance_count
         self.targets_view = targets_view
-        self.moved = moved
+        self.record_traffic = record_traffic
         self.answer_times = AnswerTimes()
-        self.under_way = ConnectionsUnderWay(connections)
-        registry.ended.append(self.under_way.target_started_anew)
-        self.statements = StatementIntake(registry, metrics)
+        self.open_connections = OpenConnections(connections)
+        registry.on_target_replaced.append(self.open_connections.abort_replaced)
+        self.statements = StatementHandler(registry, metrics)
         self.guard = guard or AdmitAll()
-        self.target_ends = TargetEnds(registry, self.guard)
+        self.crash_detector = CrashDetector(registry, self.guard)
 
-    def attempt(self, run: Run, pool_name: str) -> None:
+    def attempt(self, run: RequestRun, pool_name: str) -> None:
         """Send the request to one target and relay its answer.
 
         Raises
         ------
         AttemptFailed
-            The caller has got no answer yet.
+            If the caller has not received an answer.
         """
         pool = run.configuration.pools.get(pool_name)
         now = steady()
         if pool is None:
-            raise NobodyTakesIt(no_target())
-        most = self._most_in_flight(pool)
+            raise NoTargetAvailable(no_target_refusal())
+        max_in_flight = self._max_in_flight(pool)
         has_engines = pool.engine is not None
         prompt = run.prompt if has_engines else None
         state = self.registry.choose(
             pool_name,
             run.affinity,
-            run.tried,
+            run.tried_targets,
             now,
-            most,
-            shares_loads=has_engines,
+            max_in_flight,
+            uses_remote_loads=has_engines,
             prompt=prompt,
             cold_start=pool.cold_start,
-            rank=run.priority,
+            priority=run.priority,
         )
         if state is None:
-            raise NobodyTakesIt(why_nobody(self.registry, pool, now))
-        run.tried.add(state.record.identity)
+            raise NoTargetAvailable(pool_refusal(self.registry, pool, now))
+        run.tried_targets.add(state.record.identity)
         run.target = state.record.incarnation
         run.targets_view = self.targets_view()
         self.metrics.targets_age.set(run.targets_view.age)
-        permit_until = self.registry.started(state, pool.cold_start)
-        run.reading = Reading(state, prompt.tokens if prompt is not None else 0)
+        permit_until = self.registry.begin_request(state, pool.cold_start)
+        run.pending_prompt = PendingPrompt(state, prompt.tokens if prompt is not None else 0)
         connection = None
         try:
             connection = self._connect(run, state)
-            if not self.registry.still_takes(state, pool.cold_start, permit_until):
-                # That was learnt while the connection was waited for, and nothing was sent yet.
-                raise AttemptFailed(no_target(), counts=False)
-            self.under_way.add(state, connection)
+            if not self.registry.can_still_send(state, pool.cold_start, permit_until):
+                # The target became unavailable while the connection was being opened; nothing
+                # was sent yet.
+                raise AttemptFailed(no_target_refusal(), was_sent=False)
+            self.open_connections.add(state, connection)
             self._exchange(run, pool, state, connection)
         finally:
-            self.under_way.remove(state, connection)
-            run.reading.end()
-            self.registry.finished(state)
+            self.open_connections.remove(state, connection)
+            run.pending_prompt.finish()
+            self.registry.end_request(state)
             if connection is not None:
                 self.connections.give_back(connection)
 
-    def _most_in_flight(self, pool: PoolRecord) -> int:
-        """Return this instance's share of the connections that one target accepts."""
+    def _max_in_flight(self, pool: PoolRecord) -> int:
+        """Return this instance's share of the connections that one target accepts.
+
+        Unlimited if the pool has no connection limit.
+        """
         if not pool.max_connections:
             return sys.maxsize
-        share = _CONNECTION_PART * pool.max_connections / max(1, self.instances())
-        return max(_LEAST_IN_FLIGHT, int(share))
+        share = _CONNECTION_FRACTION * pool.max_connections / max(1, self.instance_count())
+        return max(_MIN_IN_FLIGHT, int(share))
 
-    def _connect(self, run: Run, state: TargetState) -> TargetConnection:
+    def _connect(self, run: RequestRun, state: TargetState) -> TargetConnection:
         try:
-            return self.connections.take(state.address, run.end)
+            return self.connections.take(state.address, run.deadline)
         except TargetUnavailable as failure:
-            state.unreachable(steady())
-            raise AttemptFailed(no_target(), counts=False) from failure
+            state.record_unreachable(steady())
+            raise AttemptFailed(no_target_refusal(), was_sent=False) from failure
 
     def _exchange(
-        self, run: Run, pool: PoolRecord, state: TargetState, connection: TargetConnection
+        self, run: RequestRun, pool: PoolRecord, state: TargetState, connection: TargetConnection
     ) -> None:
         run.attempts += 1
         may_have_run_before = run.may_have_run
         run.may_have_run = True
-        began, answered = steady(), False
-        run.sent_at, run.beside = began, state.in_flight - 1
-        patience = self.answer_times.suspicious_after(pool)
-        has_another = self._has_another(run, pool, began)
-        head_end = min(run.end, began + patience) if has_another else run.end
+        sent_at, has_head = steady(), False
+        run.sent_at, run.concurrent_requests = sent_at, state.in_flight - 1
+        silence_timeout = self.answer_times.silence_timeout(pool)
+        can_try_another = self._can_try_another(run, pool, sent_at)
+        head_deadline = (
+            min(run.deadline, sent_at + silence_timeout) if can_try_another else run.deadline
+        )
 
-        def hear(statement: TargetStatement) -> None:
-            self.statements.hear(state, statement, began, run.label)
+        def on_statement(statement: TargetStatement) -> None:
+            self.statements.handle(state, statement, sent_at, run.request_id)
 
         try:
-            head = self._head_of_answer(run, state, connection, head_end)
-            self.answer_times.observe(pool.name, steady() - began)
+            head = self._send_and_read_head(run, state, connection, head_deadline)
+            self.answer_times.observe(pool.name, steady() - sent_at)
             statement = self.dialect.parse_statement(head)
-            hear(statement)
+            on_statement(statement)
             if statement.did_not_run:
                 run.may_have_run = may_have_run_before
-                self._refused_by_target(pool, state, statement)
-            answered = True
-            state.answered(steady())
-            self._pass_on(run, pool, connection, head)
+                self._handle_target_refusal(pool, state, statement)
+            has_head = True
+            state.record_answer(steady())
+            self._relay_answer(run, pool, connection, head)
             if head.status < _SERVER_ERROR:
-                self.guard.record_success(run.name)
+                self.guard.record_success(run.request_name)
         except AnswerCut as failure:
             state.ejection.record_failure(steady())
-            self.target_ends.cut(state, run.name)
-            raise AttemptFailed(failure, counts=True) from failure
+            self.crash_detector.record_cut(state, run.request_name)
+            raise AttemptFailed(failure, was_sent=True) from failure
         except AttemptTimeout as failure:
-            self._suspect_silence(state, began, answered, patience)
-            raise AttemptFailed(failure, counts=True) from failure
+            self._suspect_silence(state, sent_at, has_head, silence_timeout)
+            raise AttemptFailed(failure, was_sent=True) from failure
         except CallerGone:
-            self._suspect_silence(state, began, answered, patience)
-            # Nobody waits for an answer here, so there is time to learn what was made.
+            self._suspect_silence(state, sent_at, has_head, silence_timeout)
+            # No caller is waiting, so there is time to find out how many tokens were generated.
             if run.reservation is not None and run.may_have_run:
-                settle_by_last_words(run, pool, connection, self.dialect, hear, answered)
+                settle_abandoned_run(run, pool, connection, self.dialect, on_statement, has_head)
             raise
         finally:
-            self.moved(_REQUESTS, state.record.data_hall, connection.sent_bytes)
-            self.moved(_ANSWERS, state.record.data_hall, connection.received_bytes)
+            self.record_traffic(_REQUESTS, state.record.data_hall, connection.sent_bytes)
+            self.record_traffic(_ANSWERS, state.record.data_hall, connection.received_bytes)
 
-    def _head_of_answer(
-        self, run: Run, state: TargetState, connection: TargetConnection, end: float
+    def _send_and_read_head(
+        self, run: RequestRun, state: TargetState, connection: TargetConnection, deadline: float
     ) -> ResponseHead:
-        """Send the request and wait for the head of its answer."""
-        state.unanswered += 1
+        """Send the request and read the head of its answer."""
+        state.unanswered_requests += 1
         try:
             self._send(run, state, connection)
             return connection.read_head(
-                end, lambda headers: self.dialect.is_response_to(run.request, headers)
+                deadline, lambda headers: self.dialect.is_response_to(run.request, headers)
             )
         finally:
-            state.unanswered -= 1
+            state.unanswered_requests -= 1
 
-    def _has_another(self, run: Run, pool: PoolRecord, now: float) -> bool:
-        """Whether the request may still go to another target if this one is silent.
+    def _can_try_another(self, run: RequestRun, pool: PoolRecord, now: float) -> bool:
+        """Return whether the request may be sent to another target if this one stays silent.
 
-        Not where engines run it: a run that is given up may have handed out tokens, which
-        are billed, and a busy engine only gets more to do. With it, 14 in 100 requests were
-        refused for their budgets on a day with silent engines, and 4 in 100 without.
+        Never for pools of engines: an abandoned run may have generated tokens that are billed,
+        and a retry adds load to engines that are already busy. In a test day with silent engines,
+        14% of the requests were refused because of their budgets with such retries and 4%
+        without.
         """
         if pool.engine is not None or run.attempts >= run.route.max_attempts:
             return False
-        if not run.route.may_run_again:
+        if not run.route.can_run_again:
             return False
-        if not self.allowances.of(pool.name).has_permit(now, self.instances()):
+        if not self.retry_budgets.for_pool(pool.name).has_permit(now, self.instance_count()):
             return False
-        return self.registry.has_other(pool.name, run.tried, now, pool.cold_start)
+        return self.registry.has_eligible_target(pool.name, run.tried_targets, now, pool.cold_start)
 
     def _suspect_silence(
-        self, state: TargetState, began: float, answered: bool, patience: float
+        self, state: TargetState, sent_at: float, has_head: bool, silence_timeout: float
     ) -> None:
-        """Count a target that was silent for long as failing; short waits tell nothing."""
+        """Record a failure of a target that stayed silent for the whole silence timeout.
+
+        Shorter waits are no evidence of a failure.
+        """
         now = steady()
-        if not answered and now - began >= patience:
+        if not has_head and now - sent_at >= silence_timeout:
             state.ejection.record_failure(now)
 
-    def _send(self, run: Run, state: TargetState, connection: TargetConnection) -> None:
+    def _send(self, run: RequestRun, state: TargetState, connection: TargetConnection) -> None:
         request = run.request
         attempt = Attempt(
             request=request,
@@ -276,33 +287,42 @@
             resume_after=run.last_id,
         )
         head = RequestHead(request.method, request.target, self.dialect.attempt_headers(attempt))
-        connection.send(head, request.body, run.end)
+        connection.send(head, request.body, run.deadline)
 
-    def _refused_by_target(
+    def _handle_target_refusal(
         self, pool: PoolRecord, state: TargetState, statement: TargetStatement
     ) -> None:
         now = steady()
         if statement.is_misdirected:
-            self.registry.not_at_its_address(state)
+            self.registry.remove_misdirected(state)
         else:
-            self.registry.busy(state, now)
-        raise AttemptFailed(target_full(self.registry, pool, now), counts=True)
+            self.registry.mark_busy(state, now)
+        raise AttemptFailed(target_full_refusal(self.registry, pool, now), was_sent=True)
 
-    def _pass_on(
-        self, run: Run, pool: PoolRecord, connection: TargetConnection, head: ResponseHead
+    def _relay_answer(
+        self, run: RequestRun, pool: PoolRecord, connection: TargetConnection, head: ResponseHead
     ) -> None:
-        """Pass a target's answer on: streams as they come, others once all of it is here."""
-        pieces = connection.pieces(run.end)
+        """Relay an answer: streams incrementally, other answers once they are complete."""
+        pieces = connection.pieces(run.deadline)
         if run.route.kind is RouteKind.STREAM and head.status == _OK:
-            self.answers.pass_stream(run, pool, head, pieces)
+            self.answers.relay_stream(run, pool, head, pieces)
             return
         body = b"".join(pieces)
         if head.status >= _SERVER_ERROR and run.route.kind is RouteKind.REPEATABLE:
-            self._run_again(run, pool, head)
-        self.answers.pass_whole(run, pool, head, body)
-
-    def _run_again(self, run: Run, pool: PoolRecord, head: ResponseHead) -> None:
-        """Try another target after a target's own failure, where that is allowed."""
-        has_other = self.registry.has_other(pool.name, run.tried, steady(), pool.cold_start)
-        if run.attempts < run.route.max_attempts and has_other:
-            raise AnswerCut(f"the target answered {head.status}")
+            self._retry_after_server_error(run, pool, head)
+        self.answers.relay_complete(run, pool, head, body)
+
+    def _retry_after_server_error(
+        self, run: RequestRun, pool: PoolRecord, head: ResponseHead
+    ) -> None:
+        """Raise `AnswerCut` after a server error if another target can be tried.
+
+        Raises
+        ------
+        AnswerCut
+        """
+        has_other_target = self.registry.has_eligible_target(
+            pool.name, run.tried_targets, steady(), pool.cold_start
+        )
+        if run.attempts < run.route.max_attempts and has_other_target:
+            raise AnswerCut(f"target answered with status {head.status}")
--- a/whinrack/dispatch/_dispatcher.py
+++ b/whinrack/dispatch/_dispatcher.py
@@ -1,4 +1,4 @@
-"""The pipeline: identify, route, cover, choose, attempt, relay, settle."""
+"""The request pipeline: authenticate, route, reserve tokens, attempt, relay and settle."""
 
 import random
 from collections.abc import Callable
@@ -14,19 +14,19 @@
     TIMEOUT_MARGIN,
     AttemptFailed,
     AttemptRunner,
-    NobodyTakesIt,
+    NoTargetAvailable,
 )
 from whinrack.dispatch._current_configuration import CurrentConfiguration
 from whinrack.dispatch._pacing import StreamPacing
 from whinrack.dispatch._refusals import BUSY_RETRY_SECONDS
 from whinrack.dispatch._registry import TargetRegistry
-from whinrack.dispatch._request_run import Run
-from whinrack.dispatch._retries import RetryAllowances, RetryBudget
+from whinrack.dispatch._request_run import RequestRun
+from whinrack.dispatch._retries import RetryBudget, RetryBudgets
 from whinrack.dispatch._run_log import (
     log_attempt,
     log_refusal,
+    log_reservation_refused,
     log_run,
-    log_uncovered,
 )
 from whinrack.dispatch._values import IncomingRequest, Route, TargetsView
 from whinrack.dispatch.base import Dialect
@@ -43,18 +43,19 @@
 
 __all__ = ["DispatchOptions", "Dispatcher"]
 
-_UNREACHED_TRIES = 4
-# Of the rate of arriving requests, seconds.
-_ARRIVALS_HALF_LIFE = 2.0
+# Attempts that failed before anything was sent, per request.
+_MAX_UNSENT_ATTEMPTS = 4
+# Half-life of the estimated rate of arriving requests, in seconds.
+_ARRIVAL_RATE_HALF_LIFE = 2.0
 
 
 class DispatchOptions(msgspec.Struct, frozen=True):
-    """Limits of the pipeline.
+    """Limits of the request pipeline.
 
     Attributes
     ----------
     retry_ratio, retry_slack, retry_window : float
-        Retries that all instances share; see `RetryBudget`.
+        Limits of the retries that all instances share; see `RetryBudget`.
     cores, event_delay : float
         See `StreamPacing`.
     """
@@ -67,25 +68,26 @@
 
 
 class Dispatcher:
-    """Runs requests on declared routes.
+    """Runs callers' requests on the configured routes.
 
     Parameters
     ----------
     dialect : Dialect
-    current_configuration : Directory
+    current_configuration : CurrentConfiguration
     registry : TargetRegistry
-    keeper : GrantKeeper
+    grant_manager : GrantManager
     connections : ConnectionPool
     metrics : Metrics
     options : DispatchOptions
-    instances : callable
-        Returns the number of instances that share the retries.
+    instance_count : callable
+        Returns the number of instances that share the retry budgets.
     targets_view : callable
-        Returns how up to date the registry is, for the log.
-    moved : callable
-        Told what moved to and from a target: what it is, the target's data hall, its bytes.
+        Returns the revision and age of the registry's target list, for the log.
+    record_traffic : callable
+        Called with the kind of traffic, the target's data hall and the number of bytes sent to
+        or received from the target.
     guard : RunGuard, optional
-        Keeps requests from targets, and is told how runs end.
+        Rejects quarantined requests and is notified of how runs end.
     """
 
     def __init__(
@@ -93,45 +95,53 @@
         dialect: Dialect,
         current_configuration: CurrentConfiguration,
         registry: TargetRegistry,
-        keeper: GrantManager,
+        grant_manager: GrantManager,
         connections: ConnectionPool,
         metrics: Metrics,
         options: DispatchOptions,
-        instances: Callable[[], int],
+        instance_count: Callable[[], int],
         targets_view: Callable[[], TargetsView],
-        moved: Callable[[str, str, int], None],
+        record_traffic: Callable[[str, str, int], None],
         guard: RunGuard | None = None,
     ):
         self.dialect = dialect
         self.current_configuration = current_configuration
-        self.keeper = keeper
+        self.grant_manager = grant_manager
         self.metrics = metrics
-        self.instances = instances
+        self.instance_count = instance_count
         self.requests_in_progress = 0
-        self.arrivals = DemandEstimate(half_life=_ARRIVALS_HALF_LIFE)
+        self.arrivals = DemandEstimate(half_life=_ARRIVAL_RATE_HALF_LIFE)
         self.is_refusing_requests = False
-        self.allowances = RetryAllowances(
+        self.retry_budgets = RetryBudgets(
             options.retry_ratio, options.retry_slack, options.retry_window
         )
-        self.attempts = AttemptRunner(
+        self.attempt_runner = AttemptRunner(
             dialect,
             registry,
             connections,
             AnswerRelay(metrics, StreamPacing(options.cores, options.event_delay)),
-            self.allowances,
+            self.retry_budgets,
             metrics,
-            instances,
+            instance_count,
             targets_view,
-            moved,
+            record_traffic,
             guard,
         )
 
     def apply_options(self, options: DispatchOptions) -> None:
-        """Put changed limits of retries in force; what was sent again so far goes on counting."""
-        self.allowances.change(options.retry_ratio, options.retry_slack, options.retry_window)
+        """Apply changed retry limits; retries made so far still count."""
+        self.retry_budgets.set_limits(
+            options.retry_ratio, options.retry_slack, options.retry_window
+        )
 
     def handle(self, exchange: Exchange) -> None:
-        """Answer one request; `CallerGone` passes through."""
+        """Handle one request and answer it.
+
+        Raises
+        ------
+        CallerGone
+            If the caller has closed its connection.
+        """
         self.requests_in_progress += 1
         self.arrivals.record(1, steady())
         self.metrics.in_progress.set(self.requests_in_progress)
@@ -145,29 +155,29 @@
             raise
         except Exception as error:
             log_event(Event.REQUEST_FAILED, error=repr(error))
-            self._refuse(exchange, request, InternalFailure("whinrack failed"))
+            self._refuse(exchange, request, InternalFailure("internal error"))
         finally:
             self.requests_in_progress -= 1
             self.metrics.in_progress.set(self.requests_in_progress)
 
     def _serve(self, exchange: Exchange, request: IncomingRequest) -> None:
         if self.is_refusing_requests:
-            raise RouterStopping("this instance stops", retry_after=BUSY_RETRY_SECONDS)
+            raise RouterStopping("this instance is shutting down", retry_after=BUSY_RETRY_SECONDS)
         configuration = self.current_configuration.get()
         route = configuration.find_route(request.host, request.path)
-        workspace = configuration.identify(route, request.key)
-        run = Run(exchange, request, configuration, route, workspace)
-        # What a request did at targets outlives its run, in the whole fleet: without that one that
-        # comes again under new ids ended 88 targets in 20 s, with it 4.
-        self.attempts.guard.admit(run.name)
-        self._cover(run)
+        workspace = configuration.authenticate(route, request.key)
+        run = RequestRun(exchange, request, configuration, route, workspace)
+        # The quarantine remembers across the fleet which requests crashed targets. Without it, one
+        # request that was repeated under new ids crashed 88 targets in 20 s; with it, 4.
+        self.attempt_runner.guard.admit(run.request_name)
+        self._reserve_tokens(run)
         try:
             self._attempt_all(run)
         except CallerGone:
             log_run(Event.CALLER_LEFT, run)
             raise
         finally:
-            # Whatever was not settled by a known end.
+            # Settle the reservation if the attempts did not.
             if not run.may_have_run:
                 run.settle_not_run()
             elif run.settle_unknown():
@@ -178,75 +188,79 @@
                     output=run.request.declared_tokens.output,
                 )
 
-    def _cover(self, run: Run) -> None:
+    def _reserve_tokens(self, run: RequestRun) -> None:
         declared = run.request.declared_tokens
         if declared is None or run.workspace is None:
             return
-        if not self.keeper.has_limit(run.workspace.name):
+        if not self.grant_manager.has_limit(run.workspace.name):
             return
-        cover = self.keeper.cover(run.workspace.name, declared.total)
-        if isinstance(cover, Failure):
-            log_uncovered(run, declared.total, self.keeper)
-            raise cover.failure()
-        run.reservation = cover.unwrap()
+        reservation = self.grant_manager.cover(run.workspace.name, declared.total)
+        if isinstance(reservation, Failure):
+            log_reservation_refused(run, declared.total, self.grant_manager)
+            raise reservation.failure()
+        run.reservation = reservation.unwrap()
 
     # --- attempts ----------------------------------------------------------------
 
-    def _attempt_all(self, run: Run) -> None:
+    def _attempt_all(self, run: RequestRun) -> None:
         pool = self._choose_pool(run.route)
-        allowance = self.allowances.of(pool)
-        allowance.record_request(steady())
-        unreached = 0
+        retry_budget = self.retry_budgets.for_pool(pool)
+        retry_budget.record_request(steady())
+        unsent_attempts = 0
         while True:
             try:
-                self.attempts.attempt(run, pool)
+                self.attempt_runner.attempt(run, pool)
                 return
             except AttemptFailed as failed:
-                unreached += not failed.counts
+                unsent_attempts += not failed.was_sent
                 log_attempt(run, failed.refusal)
-                if not self._may_go_on(run, failed, unreached, allowance):
-                    raise self._final(run, failed.refusal) from failed
-                self._admit_again(run)
+                if not self._can_retry(run, failed, unsent_attempts, retry_budget):
+                    raise self._final_refusal(run, failed.refusal) from failed
+                self._check_quarantine_again(run)
 
-    def _admit_again(self, run: Run) -> None:
-        """Look again whether the request is kept out: its own attempts count against it."""
+    def _check_quarantine_again(self, run: RequestRun) -> None:
+        """Raise a refusal if the request's own attempts have put it into quarantine."""
         try:
-            self.attempts.guard.admit(run.name)
+            self.attempt_runner.guard.admit(run.request_name)
         except Refusal as refusal:
-            raise self._final(run, refusal) from refusal
+            raise self._final_refusal(run, refusal) from refusal
 
     def _choose_pool(self, route: Route) -> str:
-        shares = route.weighted_pools
-        if len(shares) == 1:
-            return shares[0].pool
-        weights = [share.weight for share in shares]
-        return random.choices(shares, weights)[0].pool
+        weighted_pools = route.weighted_pools
+        if len(weighted_pools) == 1:
+            return weighted_pools[0].pool
+        weights = [weighted_pool.weight for weighted_pool in weighted_pools]
+        return random.choices(weighted_pools, weights)[0].pool
 
-    def _may_go_on(
-        self, run: Run, failed: AttemptFailed, unreached: int, allowance: RetryBudget
+    def _can_retry(
+        self,
+        run: RequestRun,
+        failed: AttemptFailed,
+        unsent_attempts: int,
+        retry_budget: RetryBudget,
     ) -> bool:
-        if failed.refusal.outcome is not Outcome.NOT_RUN and not run.route.may_run_again:
+        if failed.refusal.outcome is not Outcome.NOT_RUN and not run.route.can_run_again:
             return False
-        if run.seconds_left() <= TIMEOUT_MARGIN or unreached >= _UNREACHED_TRIES:
+        if run.seconds_left() <= TIMEOUT_MARGIN or unsent_attempts >= _MAX_UNSENT_ATTEMPTS:
             return False
-        if isinstance(failed, NobodyTakesIt):
+        if isinstance(failed, NoTargetAvailable):
             return False
-        if not failed.counts:
+        if not failed.was_sent:
             return True
         if run.attempts >= run.route.max_attempts:
             self.metrics.retries_denied.labels("attempts").inc()
             return False
-        if not allowance.try_take(steady(), self.instances()):
+        if not retry_budget.try_take(steady(), self.instance_count()):
             self.metrics.retries_denied.labels("budget").inc()
             return False
         self.metrics.retries.labels(failed.refusal.code).inc()
         return True
 
-    def _final(self, run: Run, refusal: Refusal) -> Refusal:
-        """Promise nothing that an earlier attempt may have broken."""
+    def _final_refusal(self, run: RequestRun, refusal: Refusal) -> Refusal:
+        """Return the refusal for the caller; not "not run" if an earlier attempt may have run."""
         refusal.attempts = run.attempts
         if run.may_have_run and refusal.outcome is Outcome.NOT_RUN:
-            return TargetFailed("an earlier attempt may have run")
+            return TargetFailed("an earlier attempt may have run the request")
         return refusal
 
     # --- refusals ----------------------------------------------------------------
@@ -254,11 +268,11 @@
     def _refuse(
         self, exchange: Exchange, request: IncomingRequest | None, refusal: Refusal
     ) -> None:
-        label = request.request_id.decode("latin-1") if request is not None else ""
+        request_id = request.request_id.decode("latin-1") if request is not None else ""
         self.metrics.refusals.labels(refusal.code).inc()
-        log_refusal(exchange, label, refusal, self.current_configuration.version)
+        log_refusal(exchange, request_id, refusal, self.current_configuration.version)
         if exchange.started:
-            # The exchange is left without an end: the connection is closed.
+            # The response has begun: leave it incomplete, which closes the connection.
             return
         status, headers, body = self.dialect.refusal_response(refusal, request)
         exchange.respond(status, headers, body)
--- a/whinrack/dispatch/_rate_limiter.py
+++ b/whinrack/dispatch/_rate_limiter.py
@@ -1,112 +1,134 @@
-"""Which targets take few requests now, and whether this instance may send them one more.
+"""Rate limits of targets and this instance's permission to send; pure logic without I/O.
 
-Two things make a target take few: it has just started, or it says so. Decisions only, no I/O.
+A target is rate-limited after a start, while it is cold, or when it states a limit itself.
 """
 
 from whinrack.dispatch._rate_bounds import RateBound, WarmUpLimits
 from whinrack.dispatch._shared_rates import SharedRatePermits
-from whinrack.dispatch._stated_limits import NO_LIMIT, StatedLimits, stated_bound
+from whinrack.dispatch._stated_limits import NO_LIMIT, StatedLimits, stated_rate_bound
 from whinrack.dispatch._target_state import TargetState
 from whinrack.dispatch._values import ColdStart
 
 __all__ = ["RateLimiter"]
 
-# A permit is good for so long. Connections that were waited for at a cut link are made at one
-# moment when it heals, and permits of many seconds would be spent at once.
+# Validity of a permit. When a broken link recovers, all connections that were waiting for it open
+# at the same moment; without this limit, the permits of many seconds would be spent at once.
 _PERMIT_SECONDS = 0.5
 
 
 class RateLimiter:
-    """What targets take, and this instance's part of it.
+    """Applies rate limits to the requests that this instance sends to targets.
 
     Parameters
     ----------
-    limits : StatedLimits
-    permits : SharedRatePermits
-    warm_up : WarmUpLimits
-        What cold targets bear.
+    stated_limits : StatedLimits
+    rate_permits : SharedRatePermits
+    warm_up_limits : WarmUpLimits
+        Rate limits of cold targets.
     """
 
-    def __init__(self, limits: StatedLimits, permits: SharedRatePermits, warm_up: WarmUpLimits):
-        self.limits = limits
-        self.permits = permits
-        self.warm_up_limits = warm_up
-
-    def binds_nothing(self, cold_start: ColdStart | None) -> bool:
-        """Whether no target of a pool can be bound now, which is known without a look at each."""
-        return cold_start is None and self.limits.is_empty
-
-    def bound(
+    def __init__(
+        self,
+        stated_limits: StatedLimits,
+        rate_permits: SharedRatePermits,
+        warm_up_limits: WarmUpLimits,
+    ):
+        self.stated_limits = stated_limits
+        self.rate_permits = rate_permits
+        self.warm_up_limits = warm_up_limits
+
+    def is_pool_unlimited(self, cold_start: ColdStart | None) -> bool:
+        """Return whether no target of a pool can be rate-limited, without checking each target."""
+        return cold_start is None and self.stated_limits.is_empty
+
+    def rate_bound(
         self, state: TargetState, cold_start: ColdStart | None, now: float
     ) -> RateBound | None:
-        """Return what a target takes from all instances, None if nothing bounds it."""
-        stated = self.limits.rate(state.record.identity)
-        cold = state.is_cold(cold_start, now)
+        """Return the bound on requests from all instances to a target, None if unlimited."""
+        stated = self.stated_limits.rate(state.record.identity)
+        is_cold = state.is_cold(cold_start, now)
         if stated == NO_LIMIT:
-            return self.warm_up_limits.rate_bound(cold_start.rate) if cold else None
-        if cold and cold_start.rate < stated:
+            return self.warm_up_limits.rate_bound(cold_start.rate) if is_cold else None
+        if is_cold and cold_start.rate < stated:
             return self.warm_up_limits.rate_bound(cold_start.rate)
-        return stated_bound(stated)
+        return stated_rate_bound(stated)
 
-    def is_limited(self, state: TargetState) -> bool:
-        """Whether a target states a limit."""
-        return self.limits.rate(state.record.identity) != NO_LIMIT
+    def has_stated_limit(self, state: TargetState) -> bool:
+        """Return whether a target states a limit."""
+        return self.stated_limits.rate(state.record.identity) != NO_LIMIT
 
     def permitted_rate(self, target: str) -> float:
-        """Return the requests a second that this instance may send to a limited target."""
-        rate = self.limits.rate(target)
+        """Return the requests per second that this instance may send to a target.
+
+        Returns
+        -------
+        float
+            `NO_LIMIT` if the target states no limit, 0 if this instance holds no share.
+        """
+        rate = self.stated_limits.rate(target)
         if rate == NO_LIMIT:
             return NO_LIMIT
-        shares = self.permits.held_shares({target: stated_bound(rate)})
+        shares = self.rate_permits.held_shares({target: stated_rate_bound(rate)})
         return shares[target].rate if shares else 0.0
 
-    def may_send(self, state: TargetState, cold_start: ColdStart | None, now: float) -> bool:
-        """Whether a target takes one more request from here."""
-        bound = self.bound(state, cold_start, now)
+    def can_send(self, state: TargetState, cold_start: ColdStart | None, now: float) -> bool:
+        """Return whether this instance may send one more request to a target."""
+        bound = self.rate_bound(state, cold_start, now)
         if bound is None:
             return True
         target = state.record.identity
-        most = self.permits.most_unanswered(target, bound)
-        if self.is_limited(state) and state.unanswered >= most:
+        max_unanswered = self.rate_permits.max_unanswered(target, bound)
+        if self.has_stated_limit(state) and state.unanswered_requests >= max_unanswered:
             return False
-        return self.permits.has_permit(target, bound, now, self.limits.silent(target))
+        return self.rate_permits.has_permit(
+            target, bound, now, self.stated_limits.silent_seconds(target)
+        )
 
-    def asks_again(self, state: TargetState, cold_start: ColdStart | None, now: float) -> bool:
-        """Whether to send a limited target a request to learn if the limit holds.
+    def is_probe_due(self, state: TargetState, cold_start: ColdStart | None, now: float) -> bool:
+        """Return whether to send a limited target a request to learn if the limit still holds.
 
-        One at a time: a target that answers nothing would get its rate while others have room.
+        Only one probe at a time: otherwise a target that does not answer would receive its full
+        rate although other targets have capacity.
         """
-        if not self.is_limited(state) or state.unanswered:
+        if not self.has_stated_limit(state) or state.unanswered_requests:
             return False
-        if not self.limits.asks_again(state.record.identity):
+        if not self.stated_limits.is_probe_due(state.record.identity):
             return False
-        return self.may_send(state, cold_start, now)
+        return self.can_send(state, cold_start, now)
+
+    def take_permit(
+        self, state: TargetState, cold_start: ColdStart | None, now: float
+    ) -> float | None:
+        """Take a permit if one is needed.
 
-    def take(self, state: TargetState, cold_start: ColdStart | None, now: float) -> float | None:
-        """Use up a permit if one is needed; returns until when it is good, None without one."""
-        bound = self.bound(state, cold_start, now)
+        Returns
+        -------
+        float or None
+            Steady clock time until which the permit is valid, None if none is needed.
+        """
+        bound = self.rate_bound(state, cold_start, now)
         if bound is None:
             return None
         target = state.record.identity
-        self.permits.take_permit(target, bound, now, self.limits.silent(target))
+        self.rate_permits.take_permit(target, bound, now, self.stated_limits.silent_seconds(target))
         return now + _PERMIT_SECONDS
 
-    def still_takes(
+    def can_still_send(
         self,
         state: TargetState,
         cold_start: ColdStart | None,
         permit_until: float | None,
         now: float,
     ) -> bool:
-        """Whether a request may go out now whose target was chosen a while ago.
+        """Return whether a request may be sent to a target that was chosen earlier.
 
-        The target may have stated a limit, or turned cold, since then; a permit is used up then.
+        The target may have stated a limit or become cold since then; if so, a permit is taken.
         """
-        if self.bound(state, cold_start, now) is None:
+        if self.rate_bound(state, cold_start, now) is None:
             return True
         if permit_until is not None and now <= permit_until:
             return True
-        if not self.may_send(state, cold_start, now):
+        if not self.can_send(state, cold_start, now):
             return False
-        self.take(state, cold_start, now)
+        self.take_permit(state, cold_start, now)
         return True
--- a/whinrack/dispatch/_remote_loads.py
+++ b/whinrack/dispatch/_remote_loads.py
@@ -1,40 +1,40 @@
-"""How much work the other instances have at each target. Decisions only, no I/O."""
+"""Loads that other instances put on each target; pure logic without I/O."""
 
 from collections import Counter
 
 __all__ = ["RemoteLoads"]
 
-# Counts of an instance that was not heard for so long don't count any more, seconds.
+# Seconds after which the counts of an instance expire.
 _FRESH_SECONDS = 1.5
 
 
-class _Sum:
-    """Numbers of several instances by target, summed up."""
+class _LoadTotals:
+    """Counts by target, summed over instances."""
 
     def __init__(self):
-        self._told: dict[str, dict[int, int]] = {}
+        self._by_instance: dict[str, dict[int, int]] = {}
         self._totals: Counter[int] = Counter()
 
-    def replace(self, instance: str, numbers: dict[int, int]) -> None:
-        self._totals.subtract(self._told.pop(instance, {}))
-        if numbers:
-            self._told[instance] = numbers
-            self._totals.update(numbers)
+    def replace(self, instance: str, counts: dict[int, int]) -> None:
+        self._totals.subtract(self._by_instance.pop(instance, {}))
+        if counts:
+            self._by_instance[instance] = counts
+            self._totals.update(counts)
 
     def at(self, digest: int) -> int:
         return self._totals[digest]
 
 
 class RemoteLoads:
-    """Sums up what other instances say of their requests in flight.
+    """Totals of the loads that other instances report.
 
-    Targets are named by short numbers, see `TargetState.digest`.
+    Targets are identified by their digest, see `TargetState.digest`.
     """
 
     def __init__(self):
-        self._requests = _Sum()
-        self._unread = _Sum()
-        self._heard_at: dict[str, float] = {}
+        self._requests = _LoadTotals()
+        self._unread = _LoadTotals()
+        self._updated_at: dict[str, float] = {}
 
     def update(
         self,
@@ -43,19 +43,19 @@
         now: float,
         unread: dict[int, int] | None = None,
     ) -> None:
-        """Take in the requests in flight of one instance, and their unread tokens, by target."""
+        """Replace the requests in flight and unread prompt tokens of one instance, by target."""
         self._replace(instance, counts, unread or {})
-        self._heard_at[instance] = now
-        for silent in [name for name, at in self._heard_at.items() if now - at > _FRESH_SECONDS]:
-            self._replace(silent, {}, {})
-            del self._heard_at[silent]
+        self._updated_at[instance] = now
+        for stale in [name for name, at in self._updated_at.items() if now - at > _FRESH_SECONDS]:
+            self._replace(stale, {}, {})
+            del self._updated_at[stale]
 
-    def at(self, digest: int) -> int:
-        """Return the requests in flight of all others at a target."""
+    def requests_at(self, digest: int) -> int:
+        """Return the requests in flight of all other instances at a target."""
         return self._requests.at(digest)
 
-    def unread_at(self, digest: int) -> int:
-        """Return the prompt tokens that a target has to read for all others."""
+    def unread_tokens_at(self, digest: int) -> int:
+        """Return the prompt tokens that a target has yet to process for all other instances."""
         return self._unread.at(digest)
 
     def _replace(self, instance: str, counts: dict[int, int], unread: dict[int, int]) -> None:
--- a/whinrack/dispatch/_run_log.py
+++ b/whinrack/dispatch/_run_log.py
@@ -1,20 +1,20 @@
-"""Log lines of requests: one for each decision that touches one."""
+"""Log lines about requests."""
 
 from whinrack.budgets import GrantManager
 from whinrack.clock import steady
-from whinrack.dispatch._request_run import Run
+from whinrack.dispatch._request_run import RequestRun
 from whinrack.exceptions import Refusal
 from whinrack.http1 import Exchange
 from whinrack.observability import Event, log_event
 
-__all__ = ["log_attempt", "log_refusal", "log_run", "log_uncovered"]
+__all__ = ["log_attempt", "log_refusal", "log_run", "log_reservation_refused"]
 
 
-def log_run(event: Event, run: Run, **fields) -> None:
-    """Write a line with what is known of a request on its way."""
+def log_run(event: Event, run: RequestRun, **fields) -> None:
+    """Log an event with the state of a request."""
     log_event(
         event,
-        request=run.label,
+        request=run.request_id,
         fingerprint=run.fingerprint,
         route=run.route.name,
         workspace=run.workspace_name,
@@ -22,16 +22,16 @@
         targets=run.targets_view,
         attempts=run.attempts,
         events=run.events,
-        first=round(run.first_after, 4),
-        pause=round(run.longest_pause, 4),
+        first=round(run.first_event_seconds, 4),
+        pause=round(run.max_pause_seconds, 4),
         waited=_waited(run.exchange),
         configuration=run.configuration.version,
         **fields,
     )
 
 
-def log_attempt(run: Run, refusal: Refusal) -> None:
-    """Tell that an attempt gave no answer, and why."""
+def log_attempt(run: RequestRun, refusal: Refusal) -> None:
+    """Log that an attempt failed before the caller received an answer, and why."""
     log_run(
         Event.ATTEMPT_FAILED,
         run,
@@ -39,31 +39,31 @@
         outcome=refusal.outcome,
         why=refusal.message,
         at_target=round(steady() - run.sent_at, 4) if run.sent_at else 0.0,
-        beside=run.beside,
+        beside=run.concurrent_requests,
     )
 
 
-def log_uncovered(run: Run, tokens: int, keeper: GrantManager) -> None:
-    """Tell that tokens could not be set aside, and what was known of the budget."""
-    last = keeper.last_result(run.workspace_name)
+def log_reservation_refused(run: RequestRun, tokens: int, grant_manager: GrantManager) -> None:
+    """Log that tokens could not be reserved, with the last known state of the budget."""
+    last_result = grant_manager.last_result(run.workspace_name)
     log_event(
         Event.COVER_REFUSED,
-        request=run.label,
+        request=run.request_id,
         workspace=run.workspace_name,
         tokens=tokens,
-        free=last.free if last is not None else "unknown",
-        outstanding=last.outstanding if last is not None else "unknown",
-        supplier=keeper.supplier(run.workspace_name) or "here",
-        store_silent=round(steady() - keeper.last_answer_at, 3),
+        free=last_result.free if last_result is not None else "unknown",
+        outstanding=last_result.outstanding if last_result is not None else "unknown",
+        supplier=grant_manager.supplier(run.workspace_name) or "here",
+        store_silent=round(steady() - grant_manager.last_answer_at, 3),
     )
 
 
-def log_refusal(exchange: Exchange, label: str, refusal: Refusal, configuration: int) -> None:
-    """Tell how a request ended that got no target's answer, or only a part of one."""
+def log_refusal(exchange: Exchange, request_id: str, refusal: Refusal, configuration: int) -> None:
+    """Log that a request was refused or that its answer was broken off."""
     event = Event.ANSWER_BROKEN_OFF if exchange.started else Event.REQUEST_REFUSED
     log_event(
         event,
-        request=label,
+        request=request_id,
         code=refusal.code,
         attempts=refusal.attempts,
         waited=_waited(exchange),
--- a/whinrack/dispatch/_stated_limits.py
+++ b/whinrack/dispatch/_stated_limits.py
@@ -1,9 +1,9 @@
-"""The requests a second that targets in need say they take. Decisions only, no I/O.
+"""Rate limits that overloaded targets state in their answers; pure logic without I/O.
 
-A target says so in its answers, for all instances together and for as long as it says so; an
-answer without such a word takes it back. Few instances send to it then, so the others learn from
-these what it says. Words come late, in any order and more than once: from answers that were long on
-their way, from peers that were cut off, and back from peers that had them from here.
+A limit applies to all instances together until an answer of the target states no limit. Few
+instances send to a limited target, so these report its limit to the others. Reports may arrive
+late, out of order and repeatedly: from delayed answers, from peers that were disconnected, or
+echoed by peers that received them from this instance.
 """
 
 import math
@@ -15,78 +15,80 @@
 from whinrack.clock import steady
 from whinrack.dispatch._rate_bounds import RateBound
 
-__all__ = ["NO_LIMIT", "LimitChange", "LimitReport", "StatedLimits", "stated_bound"]
+__all__ = ["NO_LIMIT", "LimitChange", "LimitReport", "StatedLimits", "stated_rate_bound"]
 
-# Stands for the word of a target that states no limit.
+# The rate of a target that states no limit.
 NO_LIMIT = math.inf
 
-# In any window of so many seconds, so many times what the limit allows and some requests more may
-# reach a target.
+# In any window of _WINDOW_SECONDS, a target may receive _OVERAGE times what its limit allows plus
+# _SLACK requests.
 _WINDOW_SECONDS = 4.0
 _OVERAGE = 1.5
 _SLACK = 5.0
-_USED_PART = 0.68
-_MOST_DEPTH = 1.25
-# A target that takes nothing, or hardly anything, is sent a request after so long all the same:
-# only its answer tells that the limit has ended.
-_LEAST_RATE = 0.2
-# While others have room a limited target gets a request where it has said nothing for so long.
-_ASKED_AGAIN_SECONDS = 2.0
-# A word that nobody heard again for so long says nothing any more, also that a limit has ended.
-_FORGET_SECONDS = 60.0
-# Targets whose words are kept, the latest ones: all of the largest fleet known, several times.
-_MOST_WORDS = 500
-# Words in one heartbeat, some 50 bytes each. With more targets limited at once they take turns.
-_MOST_TOLD = 16
-# A word that was only confirmed counts as told so often: news goes first.
-_TOLD_AS_CONFIRMED = 3
-
-
-def stated_bound(rate: float) -> RateBound:
-    """Return the bound of a target that states a limit, requests a second."""
-    most = _OVERAGE * rate * _WINDOW_SECONDS + _SLACK
-    return RateBound(max(rate, _LEAST_RATE), most, _WINDOW_SECONDS, _USED_PART, _MOST_DEPTH, True)
+_UTILIZATION = 0.68
+_MAX_BURST = 1.25
+# Requests per second that are sent even to a target with a lower limit or a limit of 0: only its
+# answers reveal that the limit has ended.
+_MIN_RATE = 0.2
+# While other targets have capacity, a limited target is probed after this time without a statement.
+_PROBE_INTERVAL_SECONDS = 2.0
+# Time after which an unconfirmed statement is dropped, also the statement that a limit has ended.
+_EXPIRY_SECONDS = 60.0
+# Targets whose statements are kept, the latest ones: several times the largest known fleet.
+_MAX_LIMITS = 500
+# Reports in one heartbeat, about 50 bytes each. If more targets are limited, they take turns.
+_MAX_REPORTS_PER_HEARTBEAT = 16
+# An unchanged limit counts as sent this often, so that changes are sent first.
+_TIMES_SENT_IF_CONFIRMED = 3
+
+
+def stated_rate_bound(rate: float) -> RateBound:
+    """Return the bound of a target that states a limit in requests per second."""
+    max_requests = _OVERAGE * rate * _WINDOW_SECONDS + _SLACK
+    return RateBound(
+        max(rate, _MIN_RATE), max_requests, _WINDOW_SECONDS, _UTILIZATION, _MAX_BURST, True
+    )
 
 
 class LimitReport(msgspec.Struct, frozen=True, array_like=True):
-    """What a target stated, as instances tell it each other.
+    """A target's stated limit as reported between instances.
 
     Attributes
     ----------
     target : str
-        Identity of the target's start.
+        Identity of the target.
     rate : float
-        Requests a second; `NO_LIMIT` if it states none.
-    hearer : int
-        Short name of the run that had the answer.
-    number : int
-        Of the word among those that this run has heard.
+        Requests per second, `NO_LIMIT` if the target states none.
+    observer : int
+        Short hash of the process that received the answer.
+    sequence : int
+        Sequence number of the statement at the observer.
     age : float
-        Seconds since it was heard.
+        Seconds since the answer was received.
     """
 
     target: str
     rate: float
     observer: int
-    number: int
+    sequence: int
     age: float
 
 
 class LimitChange(msgspec.Struct, frozen=True):
-    """A limit that became known, changed or ended.
+    """A stated limit that was added, changed or ended.
 
     Attributes
     ----------
     target : str
-        Identity of the target's start.
-    before, rate : float
-        Requests a second; `NO_LIMIT` for none.
+        Identity of the target.
+    previous_rate, rate : float
+        Requests per second, `NO_LIMIT` for none.
     source : str
-        "answer", "silence" or the peer that told it.
+        "answer", "silence" or the name of the peer that reported it.
     age : float
-        Seconds since the target said it.
+        Seconds since the target stated it.
     request : str
-        The request whose answer said so, if it was sent from here.
+        Id of the request whose answer stated it, if this instance sent it.
     """
 
     target: str
@@ -97,137 +99,153 @@
     request: str = ""
 
 
-class _Known:
-    """The latest word of one target."""
+class _KnownLimit:
+    """The latest statement of one target."""
 
-    def __init__(self, rate: float, at: float, hearer: int, number: int):
+    def __init__(self, rate: float, stated_at: float, observer: int, sequence: int):
         self.rate = rate
-        self.at = at
-        self.hearer = hearer
-        self.number = number
-        # Heartbeats that have told it.
-        self.told = 0
+        self.stated_at = stated_at
+        self.observer = observer
+        self.sequence = sequence
+        # Number of heartbeats that have contained it.
+        self.times_sent = 0
 
-    def is_same(self, word: LimitReport) -> bool:
-        """Whether a peer tells this very word."""
-        return (self.hearer, self.number) == (word.observer, word.number)
+    def is_same_observation(self, report: LimitReport) -> bool:
+        """Return whether a report originates from the same answer."""
+        return (self.observer, self.sequence) == (report.observer, report.sequence)
 
 
 class StatedLimits:
-    """The limits that targets have stated, by the identities of their starts.
+    """Limits that targets have stated, by target identity.
 
     Parameters
     ----------
     run : str, optional
-        This run of the instance.
+        Name of this process, unique for each start of the instance.
     clock : callable, optional
-        The steady clock, replaced in tests.
+        Monotonic clock, replaced in tests.
 
     Attributes
     ----------
-    changed : list of callable
+    callback : list of callable
         Called with each `LimitChange`.
     """
 
     def __init__(self, run: str = "", clock: Callable[[], float] = steady):
         self.clock = clock
         self.on_change: list[Callable[[LimitChange], None]] = []
-        self._run = xxhash.xxh32_intdigest(run.encode())
-        self._number = 0
-        self._words: dict[str, _Known] = {}
+        self._observer = xxhash.xxh32_intdigest(run.encode())
+        self._sequence = 0
+        self._known: dict[str, _KnownLimit] = {}
 
     def rate(self, target: str) -> float:
-        """Return the requests a second that a target takes, `NO_LIMIT` if it states none."""
-        known = self._words.get(target)
+        """Return a target's limit in requests per second, `NO_LIMIT` if it states none."""
+        known = self._known.get(target)
         return NO_LIMIT if known is None else known.rate
 
     @property
     def is_empty(self) -> bool:
-        """Whether no target has stated anything."""
-        return not self._words
+        """Whether no statement of any target is known."""
+        return not self._known
 
     def limited_targets(self) -> list[str]:
         """Return the identities of the targets that state a limit."""
-        return [target for target, known in self._words.items() if known.rate != NO_LIMIT]
+        return [target for target, known in self._known.items() if known.rate != NO_LIMIT]
 
-    def silent(self, target: str) -> float:
-        """Return for how many seconds a target that states a limit has said nothing."""
-        known = self._words.get(target)
-        return 0.0 if known is None else max(0.0, self.clock() - known.at)
+    def silent_seconds(self, target: str) -> float:
+        """Return the seconds since the latest statement of a target."""
+        known = self._known.get(target)
+        return 0.0 if known is None else max(0.0, self.clock() - known.stated_at)
 
-    def asks_again(self, target: str) -> bool:
-        """Whether a target that states a limit should be sent a request to learn if it holds."""
-        return self.silent(target) >= _ASKED_AGAIN_SECONDS
+    def is_probe_due(self, target: str) -> bool:
+        """Return whether to probe whether a target's limit still holds."""
+        return self.silent_seconds(target) >= _PROBE_INTERVAL_SECONDS
 
     def record_answer(self, target: str, rate: float, sent_at: float, request: str = "") -> None:
-        """Take in what an answer of a target said.
+        """Record the limit that an answer stated.
 
         Parameters
         ----------
         sent_at : float
-            When the request was sent, steady clock. A word that takes more than the one before
-            counts from then: the answer may have been made before that word, and come after it.
+            Steady clock time at which the request was sent. A higher limit is dated to this
+            time, because the answer may have been generated before the previous statement and
+            have arrived after it.
         """
         if rate == NO_LIMIT and self.rate(target) == NO_LIMIT:
-            # Confirmed by each answer, the end of a limit would go before a new limit that a peer
-            # has heard meanwhile, and would be told for ever.
+            # If each answer confirmed the end of a limit, the end would override a newer limit
+            # that a peer has received meanwhile, and would be reported forever.
             return
-        known = self._words.get(target)
+        known = self._known.get(target)
         is_looser = known is not None and rate > known.rate
         at = sent_at if is_looser else self.clock()
-        if known is not None and at < known.at:
+        if known is not None and at < known.stated_at:
             return
-        self._number += 1
-        self._take(target, _Known(rate, at, self._run, self._number), "answer", request)
-
-    def merge_reports(self, words: Iterable[LimitReport], peer: str) -> None:
-        """Take in what a peer tells; the latest word of a target wins."""
-        for word in words:
-            if word.rate >= 0.0 and 0.0 <= word.age <= _FORGET_SECONDS:
-                self._learn(word, peer)
-
-    def _learn(self, word: LimitReport, peer: str) -> None:
-        at = self.clock() - word.age
-        known = self._words.get(word.target)
-        if known is not None and known.is_same(word):
-            # The way from peer to peer makes a word look younger, never older.
-            known.at = min(known.at, at)
-        elif known is None or at > known.at:
-            self._take(word.target, _Known(word.rate, at, word.observer, word.number), peer)
+        self._sequence += 1
+        self._store(
+            target, _KnownLimit(rate, at, self._observer, self._sequence), "answer", request
+        )
+
+    def merge_reports(self, reports: Iterable[LimitReport], peer: str) -> None:
+        """Merge the reports of a peer; the latest statement of a target wins.
+
+        Reports with a negative rate or an implausible age are ignored.
+        """
+        for report in reports:
+            if report.rate >= 0.0 and 0.0 <= report.age <= _EXPIRY_SECONDS:
+                self._merge(report, peer)
+
+    def _merge(self, report: LimitReport, peer: str) -> None:
+        at = self.clock() - report.age
+        known = self._known.get(report.target)
+        if known is not None and known.is_same_observation(report):
+            # Transmission delays make a report look younger than it is, never older.
+            known.stated_at = min(known.stated_at, at)
+        elif known is None or at > known.stated_at:
+            self._store(
+                report.target, _KnownLimit(report.rate, at, report.observer, report.sequence), peer
+            )
 
     def next_reports(self) -> list[LimitReport]:
-        """Return some words for the next heartbeat, those told least often first."""
-        chosen = sorted(self._words.items(), key=lambda item: item[1].told)[:_MOST_TOLD]
+        """Return the reports for the next heartbeat, those sent least often first."""
+        chosen = sorted(self._known.items(), key=lambda item: item[1].times_sent)[
+            :_MAX_REPORTS_PER_HEARTBEAT
+        ]
         for _, known in chosen:
-            known.told += 1
+            known.times_sent += 1
         now = self.clock()
         return [
-            LimitReport(target, known.rate, known.hearer, known.number, round(now - known.at, 3))
+            LimitReport(
+                target, known.rate, known.observer, known.sequence, round(now - known.stated_at, 3)
+            )
             for target, known in chosen
         ]
 
     def drop_expired(self) -> None:
-        """Drop the words that nobody heard again for long."""
+        """Drop statements that were not confirmed for a long time."""
         now = self.clock()
-        for target, known in list(self._words.items()):
-            if now - known.at > _FORGET_SECONDS:
-                del self._words[target]
+        for target, known in list(self._known.items()):
+            if now - known.stated_at > _EXPIRY_SECONDS:
+                del self._known[target]
                 if known.rate != NO_LIMIT:
-                    age = now - known.at
-                    self._tell(LimitChange(target, known.rate, NO_LIMIT, "silence", age))
-
-    def _take(self, target: str, word: _Known, source: str, request: str = "") -> None:
-        known = self._words.pop(target, None)
-        self._words[target] = word
-        while len(self._words) > _MOST_WORDS:
-            del self._words[next(iter(self._words))]
+                    age = now - known.stated_at
+                    self._notify(LimitChange(target, known.rate, NO_LIMIT, "silence", age))
+
+    def _store(self, target: str, limit: _KnownLimit, source: str, request: str = "") -> None:
+        known = self._known.pop(target, None)
+        self._known[target] = limit
+        while len(self._known) > _MAX_LIMITS:
+            del self._known[next(iter(self._known))]
         before = NO_LIMIT if known is None else known.rate
-        if word.rate == before:
-            word.told = _TOLD_AS_CONFIRMED if known is None else min(known.told, _TOLD_AS_CONFIRMED)
+        if limit.rate == before:
+            limit.times_sent = (
+                _TIMES_SENT_IF_CONFIRMED
+                if known is None
+                else min(known.times_sent, _TIMES_SENT_IF_CONFIRMED)
+            )
             return
-        age = max(0.0, self.clock() - word.at)
-        self._tell(LimitChange(target, before, word.rate, source, age, request))
+        age = max(0.0, self.clock() - limit.stated_at)
+        self._notify(LimitChange(target, before, limit.rate, source, age, request))
 
-    def _tell(self, change: LimitChange) -> None:
-        for changed in self.on_change:
-            changed(change)
+    def _notify(self, change: LimitChange) -> None:
+        for callback in self.on_change:
+            callback(change)
--- a/whinrack/dispatch/_statements.py
+++ b/whinrack/dispatch/_statements.py
@@ -1,4 +1,4 @@
-"""What targets state of themselves in the heads of their answers, taken in at one place."""
+"""Processing of what targets state about themselves in the heads of their answers."""
 
 import msgspec
 
@@ -7,34 +7,34 @@
 from whinrack.dispatch._target_state import TargetState
 from whinrack.observability import Event, Metrics, log_event
 
-__all__ = ["StatementIntake", "TargetStatement"]
+__all__ = ["StatementHandler", "TargetStatement"]
 
-# Fields that are counted by their names, and logged once each; the others are counted together.
-_MOST_UNKNOWN_FIELDS = 20
-_LONGEST_FIELD_SHOWN = 60
+# Unknown fields that are counted by name and logged once each; further ones are counted together.
+_MAX_UNKNOWN_FIELDS = 20
+_MAX_FIELD_LENGTH = 60
 _OTHER_FIELDS = "others"
 
 
 class TargetStatement(msgspec.Struct, frozen=True, kw_only=True):
-    """What one answer states of the target that gave it.
+    """What one answer states about its target.
 
     Attributes
     ----------
     did_not_run : bool
-        The target did not run the request, and won't.
-    is_other_target : bool
-        Another target listens at this address; the statement is of that one.
-    leaving : bool
-        The target takes no new work from anybody.
+        Whether the target did not run the request and will not run it.
+    is_misdirected : bool
+        Whether another target listens at this address; the statement is about that one.
+    is_leaving : bool
+        Whether the target accepts no new requests from any instance.
     retry_after : float
-        Seconds for which the target takes nothing from this instance; 0 if it doesn't say so.
-    limit : float or None
-        Requests a second that the target takes from all instances, `NO_LIMIT` if it states none,
-        None if what it states can't be read.
-    unreadable : tuple of str
-        Names of the fields whose values can't be read.
-    unknown : tuple of str
-        Names of fields by which targets state something, and that the dialect doesn't know.
+        Seconds for which the target accepts no requests from this instance, 0 if not stated.
+    rate_limit : float or None
+        Requests per second that the target accepts from all instances, `NO_LIMIT` if not stated,
+        None if the value cannot be parsed.
+    unreadable_fields : tuple of str
+        Names of the fields whose values cannot be parsed.
+    unknown_fields : tuple of str
+        Names of statement fields that the dialect does not know.
     """
 
     did_not_run: bool = False
@@ -46,8 +46,8 @@
     unknown_fields: tuple[str, ...] = ()
 
 
-class StatementIntake:
-    """Takes in what targets state of themselves.
+class StatementHandler:
+    """Applies the statements of targets to the registry.
 
     Parameters
     ----------
@@ -60,19 +60,19 @@
         self.metrics = metrics
         self._unknown: set[str] = set()
 
-    def hear(
+    def handle(
         self, state: TargetState, statement: TargetStatement, sent_at: float, request: str
     ) -> None:
-        """Take in the statement of an answer.
+        """Apply the statement of an answer.
 
         Parameters
         ----------
         state : TargetState
-            The target that was asked.
+            The target that the request was sent to.
         sent_at : float
-            When it was sent the request, steady clock.
+            Steady clock time at which the request was sent.
         request : str
-            The request's id, for the log.
+            Id of the request, for the log.
         """
         for field in statement.unreadable_fields:
             self.metrics.unreadable_statements.labels(field).inc()
@@ -85,15 +85,15 @@
                 state.record.identity, statement.rate_limit, sent_at, request
             )
         if statement.is_leaving:
-            self._hear_leaving(state, request)
+            self._handle_leaving(state, request)
         if statement.retry_after > 0.0:
-            self._hear_backoff(state, statement.retry_after, request)
+            self._handle_backoff(state, statement.retry_after, request)
 
     def _count_unknown(self, field: str, state: TargetState, request: str) -> None:
-        """Show that targets state something that nothing here heeds."""
-        shown = field[:_LONGEST_FIELD_SHOWN]
+        """Count and log a field that targets send and this instance ignores."""
+        shown = field[:_MAX_FIELD_LENGTH]
         if shown not in self._unknown:
-            if len(self._unknown) >= _MOST_UNKNOWN_FIELDS:
+            if len(self._unknown) >= _MAX_UNKNOWN_FIELDS:
                 self.metrics.unknown_statements.labels(_OTHER_FIELDS).inc()
                 return
             self._unknown.add(shown)
@@ -102,22 +102,22 @@
             )
         self.metrics.unknown_statements.labels(shown).inc()
 
-    def _hear_leaving(self, state: TargetState, request: str) -> None:
+    def _handle_leaving(self, state: TargetState, request: str) -> None:
         record = state.record
         if not self.registry.mark_leaving(record.incarnation, record.started):
             return
         log_event(Event.TARGET_LEAVING, target=record.incarnation, source="answer", request=request)
-        for heard in self.registry.on_target_leaving:
-            heard()
+        for callback in self.registry.on_target_leaving:
+            callback()
 
-    def _hear_backoff(self, state: TargetState, seconds: float, request: str) -> None:
+    def _handle_backoff(self, state: TargetState, seconds: float, request: str) -> None:
         record, now = state.record, self.registry.clock()
         self.registry.backoffs.start(record.identity, seconds, now)
         log_event(
             Event.TARGET_BACKOFF,
             target=record.incarnation,
             seconds=seconds,
-            left=round(self.registry.backoff_left(state, now), 3),
+            left=round(self.registry.backoff_seconds_left(state, now), 3),
             request=request,
             in_flight=state.in_flight,
         )
--- a/whinrack/dispatch/tests/test_choice_and_send.py
+++ b/whinrack/dispatch/tests/test_choice_and_send.py
@@ -1,4 +1,4 @@
-"""What happens between the choice of a target and the first byte that is sent to it."""
+"""Events between the choice of a target and the first byte that is sent to it."""
 
 import types
 
@@ -19,14 +19,14 @@
     TargetsView,
     WeightedPool,
 )
-from whinrack.dispatch._request_run import Run
+from whinrack.dispatch._request_run import RequestRun
 from whinrack.exceptions import TargetUnavailable
 from whinrack.http1 import Exchange, RequestHead, ServerLimits
 from whinrack.observability import Metrics
 
 
 class Connection:
-    """Notes what is sent; the answer never comes."""
+    """Stand-in that records what is sent and never answers."""
 
     def __init__(self, address, sent):
         self.address, self.sent = address, sent
@@ -35,23 +35,23 @@
         self.sent.append(self.address)
 
     def read_head(self, end, is_own):
-        raise TargetUnavailable("nothing was to be sent here")
+        raise TargetUnavailable("nothing should have been sent here")
 
 
 class SlowConnections:
-    """Connections that take so long that something happens meanwhile."""
+    """Stand-in for connections that open slowly, while `on_open` is called."""
 
-    def __init__(self, meanwhile):
-        self.meanwhile = meanwhile
-        self.taken, self.sent = [], []
+    def __init__(self, on_open):
+        self.on_open = on_open
+        self.opened, self.sent = [], []
 
     def take(self, address, end):
-        self.taken.append(address)
-        self.meanwhile(address)
+        self.opened.append(address)
+        self.on_open(address)
         return Connection(address, self.sent)
 
     def give_back(self, connection):
-        """Nothing is kept."""
+        """Ignore the connection."""
 
 
 class Headers(Dialect):
@@ -75,10 +75,10 @@
     )
     configuration = Configuration(1, [route], [PoolRecord("p", 0)], [], ServerLimits())
     exchange = Exchange(None, RequestHead(b"GET", b"/x", []), b"")
-    return Run(exchange, request, configuration, route, None)
+    return RequestRun(exchange, request, configuration, route, None)
 
 
-def test_a_target_that_leaves_while_its_connection_is_waited_for_gets_nothing(run):
+def test_a_target_that_leaves_while_its_connection_opens_gets_no_request(run):
     registry = TargetRegistry(seed=1)
     for number in (1, 2):
         registry.put(TargetRecord(f"t{number}", "p", "h", number))
@@ -99,23 +99,23 @@
         TargetsView,
         lambda *moved: None,
     )
-    began = steady()
+    started_at = steady()
     with pytest.raises(TargetUnavailable) as refused:
         dispatcher._attempt_all(run)
     assert refused.value.outcome == "not_run"
-    assert sorted(connections.taken) == [("h", 1), ("h", 2)]
+    assert sorted(connections.opened) == [("h", 1), ("h", 2)]
     assert connections.sent == []
     assert (run.attempts, run.may_have_run) == (0, False)
-    assert steady() - began < 1.0
+    assert steady() - started_at < 1.0
 
 
-def test_a_target_that_states_a_limit_while_its_connection_is_waited_for_gets_its_rate(run):
-    """Requests that had been chosen for it before the word was heard come no more than others."""
+def test_a_target_that_states_a_limit_while_its_connection_opens_gets_no_more(run):
+    """Requests for which it was chosen before the statement are limited like later ones."""
     registry = TargetRegistry(seed=1)
     registry.put(TargetRecord("t1", "p", "h", 1))
     registry.stated_limits.record_answer("t1", 1.0, sent_at=steady())
     (state,) = registry.targets_in_pool("p")
-    assert registry.still_takes(state, None, permit_until=None)
-    assert not registry.still_takes(state, None, permit_until=None)
-    assert not registry.still_takes(state, None, permit_until=steady() - 0.1)
-    assert registry.still_takes(state, None, permit_until=steady() + 0.1)
+    assert registry.can_still_send(state, None, permit_until=None)
+    assert not registry.can_still_send(state, None, permit_until=None)
+    assert not registry.can_still_send(state, None, permit_until=steady() - 0.1)
+    assert registry.can_still_send(state, None, permit_until=steady() + 0.1)
