--- a/whinrack/dispatch/_abandoned_runs.py
+++ b/whinrack/dispatch/_abandoned_runs.py
@@ -39,7 +39,7 @@
     has_head : bool
         Whether the head of the answer has been read already.
     """
-    connection.finish_sending()
+    connection.close_write()
     deadline = steady() + _END_WAIT_SECONDS
     try:
         if not has_head:
@@ -51,10 +51,10 @@
             if statement.did_not_run:
                 run.may_have_run = run.attempts > 1
                 return
-        for block in event_blocks(connection.pieces(deadline), run.last_id):
+        for block in event_blocks(connection.iter_data(deadline), run.last_id):
             run.events += block.count
     except AnswerCut:
-        if not connection.ended:
+        if not connection.is_closed_by_target:
             return
     except AttemptTimeout:
         return
--- a/whinrack/dispatch/_answers.py
+++ b/whinrack/dispatch/_answers.py
@@ -39,7 +39,7 @@
         AnswerCut
             If events of an earlier target have been relayed already.
         """
-        if run.exchange.started:
+        if run.exchange.is_started:
             raise AnswerCut(f"target answered with status {head.status} in the middle of a stream")
         run.settle_complete(pool)
         run.exchange.respond(head.status, _answer_headers(head), body)
@@ -57,19 +57,19 @@
         """
         exchange = run.exchange
         for block in event_blocks(self.pacing.paced(pieces), run.last_id):
-            if not exchange.started:
-                exchange.start(head.status, _answer_headers(head))
+            if not exchange.is_started:
+                exchange.start_response(head.status, _answer_headers(head))
                 self._record_first_event(run)
             exchange.write(block.data)
             run.record_relayed(block.count, block.last_id)
-        if not exchange.started:
-            exchange.start(head.status, _answer_headers(head))
+        if not exchange.is_started:
+            exchange.start_response(head.status, _answer_headers(head))
         run.settle_complete(pool)
         exchange.finish()
         self._record_answered(run, head)
 
     def _record_first_event(self, run: RequestRun) -> None:
-        seconds = steady() - run.exchange.arrived
+        seconds = steady() - run.exchange.received_at
         self.metrics.first_byte.labels(str(run.route.kind)).observe(seconds)
 
     def _record_answered(self, run: RequestRun, head: ResponseHead) -> None:
--- a/whinrack/dispatch/_attempts.py
+++ b/whinrack/dispatch/_attempts.py
@@ -170,7 +170,7 @@
             run.pending_prompt.finish()
             self.registry.end_request(state)
             if connection is not None:
-                self.connections.give_back(connection)
+                self.connections.release(connection)
 
     def _max_in_flight(self, pool: PoolRecord) -> int:
         """Return this instance's share of the connections that one target accepts.
@@ -184,7 +184,7 @@
 
     def _connect(self, run: RequestRun, state: TargetState) -> TargetConnection:
         try:
-            return self.connections.take(state.address, run.deadline)
+            return self.connections.acquire(state.address, run.deadline)
         except TargetUnavailable as failure:
             state.record_unreachable(steady())
             raise AttemptFailed(no_target_refusal(), was_sent=False) from failure
@@ -303,7 +303,7 @@
         self, run: RequestRun, pool: PoolRecord, connection: TargetConnection, head: ResponseHead
     ) -> None:
         """Relay an answer: streams incrementally, other answers once they are complete."""
-        pieces = connection.pieces(run.deadline)
+        pieces = connection.iter_data(run.deadline)
         if run.route.kind is RouteKind.STREAM and head.status == _OK:
             self.answers.relay_stream(run, pool, head, pieces)
             return
--- a/whinrack/dispatch/_dispatcher.py
+++ b/whinrack/dispatch/_dispatcher.py
@@ -271,7 +271,7 @@
         request_id = request.request_id.decode("latin-1") if request is not None else ""
         self.metrics.refusals.labels(refusal.code).inc()
         log_refusal(exchange, request_id, refusal, self.current_configuration.version)
-        if exchange.started:
+        if exchange.is_started:
             # The response has begun: leave it incomplete, which closes the connection.
             return
         status, headers, body = self.dialect.refusal_response(refusal, request)
--- a/whinrack/dispatch/_open_connections.py
+++ b/whinrack/dispatch/_open_connections.py
@@ -36,4 +36,4 @@
         """
         for connection in list(self._by_target.get(state, ())):
             connection.abort()
-        self.connections.forget(state.address)
+        self.connections.close_idle(state.address)
--- a/whinrack/dispatch/_request_run.py
+++ b/whinrack/dispatch/_request_run.py
@@ -64,7 +64,7 @@
         self.configuration = configuration
         self.route = route
         self.workspace = workspace
-        self.deadline = exchange.arrived + min(
+        self.deadline = exchange.received_at + min(
             request.deadline_seconds or route.timeout, route.timeout
         )
         self.reservation: Cover | None = None
@@ -140,7 +140,7 @@
         if self.events:
             self.max_pause_seconds = max(self.max_pause_seconds, now - self._last_relayed_at)
         else:
-            self.first_event_seconds = now - self.exchange.arrived
+            self.first_event_seconds = now - self.exchange.received_at
         if self.pending_prompt is not None:
             # Output means that the engine has processed the whole prompt.
             self.pending_prompt.finish()
--- a/whinrack/dispatch/_run_log.py
+++ b/whinrack/dispatch/_run_log.py
@@ -60,7 +60,7 @@
 
 def log_refusal(exchange: Exchange, request_id: str, refusal: Refusal, configuration: int) -> None:
     """Log that a request was refused or that its answer was broken off."""
-    event = Event.ANSWER_BROKEN_OFF if exchange.started else Event.REQUEST_REFUSED
+    event = Event.ANSWER_BROKEN_OFF if exchange.is_started else Event.REQUEST_REFUSED
     log_event(
         event,
         request=request_id,
@@ -73,4 +73,4 @@
 
 
 def _waited(exchange: Exchange) -> float:
-    return round(steady() - exchange.arrived, 4)
+    return round(steady() - exchange.received_at, 4)
--- a/whinrack/dispatch/tests/test_abandoned_runs.py
+++ b/whinrack/dispatch/tests/test_abandoned_runs.py
@@ -27,19 +27,24 @@
 class Connection:
     """Stand-in for a connection after the half-close: the remaining data and how it ends."""
 
-    def __init__(self, head=None, data=b"", failure=None, ended=True):
-        self.head, self.data, self.failure, self.ended = head, data, failure, ended
-        self.finished_sending = False
-
-    def finish_sending(self):
-        self.finished_sending = True
-
-    def read_head(self, end, is_own):
+    def __init__(self, head=None, data=b"", failure=None, is_closed_by_target=True):
+        self.head, self.data, self.failure, self.is_closed_by_target = (
+            head,
+            data,
+            failure,
+            is_closed_by_target,
+        )
+        self.is_write_closed = False
+
+    def close_write(self):
+        self.is_write_closed = True
+
+    def read_head(self, deadline, is_own_response):
         if self.head is None:
             raise self.failure
         return self.head
 
-    def pieces(self, end):
+    def iter_data(self, deadline):
         yield self.data
         if self.failure is not None:
             raise self.failure
@@ -61,7 +66,7 @@
         resume_after=None,
     )
     run = RequestRun(
-        SimpleNamespace(arrived=0.0), request, None, SimpleNamespace(timeout=1.0), None
+        SimpleNamespace(received_at=0.0), request, None, SimpleNamespace(timeout=1.0), None
     )
     run.reservation = Reservation()
     run.attempts, run.may_have_run, run.events, run.last_id = 1, True, 3, 3
@@ -71,12 +76,12 @@
 def settle(run, connection, answered=True, statements=None):
     on_statement = [].append if statements is None else statements.append
     settle_abandoned_run(run, POOL, connection, Dialect(), on_statement, answered)
-    assert connection.finished_sending
+    assert connection.is_write_closed
     return run.reservation.billed
 
 
 def test_received_events_and_one_more_are_billed_if_the_target_closes(run):
-    cut = Connection(data=EVENTS, failure=AnswerCut("ended"), ended=True)
+    cut = Connection(data=EVENTS, failure=AnswerCut("ended"), is_closed_by_target=True)
     assert settle(run, cut) == 100 + 5 * (3 + 2 + 1)
 
 
@@ -86,7 +91,7 @@
 
 def test_the_prompt_and_one_event_are_billed_if_the_target_closes_before_the_head(run):
     run.events, run.last_id = 0, None
-    gone = Connection(failure=AnswerCut("ended"), ended=True)
+    gone = Connection(failure=AnswerCut("ended"), is_closed_by_target=True)
     assert settle(run, gone, answered=False) == 100 + 5
 
 
@@ -94,7 +99,7 @@
     ("failure", "ended"), [(AnswerCut("reset"), False), (AttemptTimeout("silent"), False)]
 )
 def test_a_reset_or_silence_leaves_the_run_unsettled(run, failure, ended):
-    assert settle(run, Connection(failure=failure, ended=ended)) is None
+    assert settle(run, Connection(failure=failure, is_closed_by_target=ended)) is None
 
 
 def test_a_request_that_the_target_did_not_run_is_not_billed(run):
@@ -107,4 +112,4 @@
 
 def test_no_more_than_the_reservation_is_billed(run):
     run.events = 1000
-    assert settle(run, Connection(failure=AnswerCut("ended"), ended=True)) == 300
+    assert settle(run, Connection(failure=AnswerCut("ended"), is_closed_by_target=True)) == 300
--- a/whinrack/dispatch/tests/test_choice_and_send.py
+++ b/whinrack/dispatch/tests/test_choice_and_send.py
@@ -31,10 +31,10 @@
     def __init__(self, address, sent):
         self.address, self.sent = address, sent
 
-    def send(self, head, body, end):
+    def send(self, head, body, deadline):
         self.sent.append(self.address)
 
-    def read_head(self, end, is_own):
+    def read_head(self, deadline, is_own_response):
         raise TargetUnavailable("nothing should have been sent here")
 
 
@@ -45,12 +45,12 @@
         self.on_open = on_open
         self.opened, self.sent = [], []
 
-    def take(self, address, end):
+    def acquire(self, address, deadline):
         self.opened.append(address)
         self.on_open(address)
         return Connection(address, self.sent)
 
-    def give_back(self, connection):
+    def release(self, connection):
         """Ignore the connection."""
 
 
--- a/whinrack/edge/_daemon.py
+++ b/whinrack/edge/_daemon.py
@@ -338,8 +338,8 @@
         while True:
             eventlet.sleep(_CROWDING_CHECK_SECONDS)
             crowded = self.membership.is_crowded()
-            if crowded != self.server.crowded:
-                self.server.crowded = crowded
+            if crowded != self.server.is_crowded:
+                self.server.is_crowded = crowded
                 log_event(Event.CROWDED, crowded=crowded, open=self.dispatcher.requests_in_progress)
 
     # --- signals -----------------------------------------------------------------
--- a/whinrack/edge/_graceful_shutdown.py
+++ b/whinrack/edge/_graceful_shutdown.py
@@ -65,7 +65,7 @@
         log_event(Event.ROUTER_STOPPING, in_progress=self.dispatcher.requests_in_progress)
         self.membership.is_stopping = True
         self.membership.send_heartbeats()
-        self.server.closing = True
+        self.server.is_closing = True
         # New requests are served until cached discovery answers have expired.
         caller_cache_seconds = min(
             _MAX_CALLER_CACHE_SECONDS, options.answer_seconds * _CALLER_CACHE_FACTOR
--- a/whinrack/edge/_knowledge_exchange.py
+++ b/whinrack/edge/_knowledge_exchange.py
@@ -136,17 +136,17 @@
     """
     end = steady() + seconds
     try:
-        connection = connections.take(address, end)
+        connection = connections.acquire(address, end)
     except Refusal:
         return None
     try:
         connection.send(RequestHead(b"GET", path, [(b"host", b"peer")]), b"", end)
         head = connection.read_head(end, lambda headers: True)
-        body = b"".join(connection.pieces(end))
+        body = b"".join(connection.iter_data(end))
     except Refusal:
         return None
     finally:
-        connections.give_back(connection)
+        connections.release(connection)
     if on_transfer is not None:
         on_transfer(answer_type.__name__.lower(), address, len(body))
     return _decode(body, answer_type) if head.status == _OK else None
--- a/whinrack/engines/__init__.py
+++ b/whinrack/engines/__init__.py
@@ -5,11 +5,11 @@
     TargetClient,
     Usage,
     body_chunks,
+    is_busy_response,
     read_body,
-    refused_unstarted,
-    retry_after,
+    retry_after_seconds,
 )
-from whinrack.engines._sse import ChatStream, whole_events
+from whinrack.engines._sse import ChatStream, complete_events
 
 __all__ = [
     "ChatStream",
@@ -18,7 +18,7 @@
     "Usage",
     "body_chunks",
     "read_body",
-    "refused_unstarted",
-    "retry_after",
-    "whole_events",
+    "is_busy_response",
+    "retry_after_seconds",
+    "complete_events",
 ]
--- a/whinrack/engines/_client.py
+++ b/whinrack/engines/_client.py
@@ -16,8 +16,8 @@
     "Usage",
     "body_chunks",
     "read_body",
-    "refused_unstarted",
-    "retry_after",
+    "is_busy_response",
+    "retry_after_seconds",
 ]
 
 _CONNECT_TIMEOUT = 1.0
@@ -128,7 +128,7 @@
             return None
         return reply
 
-    def load(self, address: str) -> EngineLoad | None:
+    def fetch_load(self, address: str) -> EngineLoad | None:
         """Read a target's load report, None if it has none."""
         try:
             reply = self._pool.request("GET", f"http://{address}/load", timeout=_ORDER_TIMEOUT)
@@ -139,12 +139,12 @@
             return None
 
 
-def refused_unstarted(reply: urllib3.BaseHTTPResponse) -> bool:
+def is_busy_response(reply: urllib3.BaseHTTPResponse) -> bool:
     """Whether the target's own word is that it is busy and did not start."""
     return reply.status in _BUSY
 
 
-def retry_after(reply: urllib3.BaseHTTPResponse) -> float:
+def retry_after_seconds(reply: urllib3.BaseHTTPResponse) -> float:
     """Return the seconds for which a busy target takes nothing from here, 0 for no word."""
     text = reply.headers.get("Retry-After", "").strip()
     return float(text) if _SECONDS.fullmatch(text) else 0.0
--- a/whinrack/engines/_sse.py
+++ b/whinrack/engines/_sse.py
@@ -11,7 +11,7 @@
 from whinrack.engines._client import Usage
 from whinrack.exceptions import AnswerCut, ForeignAnswer
 
-__all__ = ["ChatStream", "whole_events"]
+__all__ = ["ChatStream", "complete_events"]
 
 _END = b"\n\n"
 _DATA = b"data:"
@@ -29,7 +29,7 @@
 _USAGE_EVENT = msgspec.json.Decoder(_UsageEvent)
 
 
-def whole_events(chunks: Iterable[bytes]) -> Iterator[bytes]:
+def complete_events(chunks: Iterable[bytes]) -> Iterator[bytes]:
     """Regroup chunks so that each ends at the end of an event.
 
     Raises
@@ -61,7 +61,7 @@
     ----------
     answer_id : str
         The id that every event must carry.
-    keep_usage : bool
+    include_usage : bool
         Whether the caller asked for the usage event.
 
     Attributes
@@ -76,13 +76,13 @@
         The end mark was seen: the answer is whole.
     """
 
-    def __init__(self, answer_id: str, keep_usage: bool):
+    def __init__(self, answer_id: str, include_usage: bool):
         self.answer_id = answer_id
-        self.keep_usage = keep_usage
+        self.include_usage = include_usage
         self.usage: Usage | None = None
-        self.content_events = 0
-        self.events = 0
-        self.done = False
+        self.content_event_count = 0
+        self.event_count = 0
+        self.is_complete = False
         self._mark = b'"' + answer_id.encode() + b'"'
 
     def check(self, data: bytes) -> bytes:
@@ -93,16 +93,16 @@
         ForeignAnswer
             If an event has another id, or comes after the end.
         """
-        if self.done:
+        if self.is_complete:
             raise ForeignAnswer("events after the end of the answer")
         events = data.count(_DATA)
         if _DONE in data:
-            self.done = True
+            self.is_complete = True
             events -= 1
         if events > data.count(self._mark):
             raise ForeignAnswer("an event with another id")
-        self.events += events
-        self.content_events += data.count(_CONTENT_MARK)
+        self.event_count += events
+        self.content_event_count += data.count(_CONTENT_MARK)
         if _USAGE_MARK in data:
             return self._without_usage(data)
         return data
@@ -122,4 +122,4 @@
         if decoded.usage is None:
             return True
         self.usage = decoded.usage
-        return self.keep_usage or bool(decoded.choices)
+        return self.include_usage or bool(decoded.choices)
--- a/whinrack/engines/tests/test_sse.py
+++ b/whinrack/engines/tests/test_sse.py
@@ -4,7 +4,7 @@
 import pytest
 from hypothesis import given, settings
 
-from whinrack.engines import ChatStream, whole_events
+from whinrack.engines import ChatStream, complete_events
 from whinrack.exceptions import AnswerCut, ForeignAnswer
 
 EVENT = b'data: {"id": "chatcmpl-1", "choices": [{"delta": {"content": "a \\"usage\\": {"}}]}\n\n'
@@ -24,36 +24,36 @@
 def test_events_are_the_same_however_the_bytes_are_split(cuts):
     edges = [0, *sorted(set(cuts)), len(STREAM)]
     chunks = [STREAM[a:b] for a, b in zip(edges, edges[1:], strict=False)]
-    stream = ChatStream("chatcmpl-1", keep_usage=False)
-    out = b"".join(stream.check(events) for events in whole_events(chunks))
+    stream = ChatStream("chatcmpl-1", include_usage=False)
+    out = b"".join(stream.check(events) for events in complete_events(chunks))
     assert out == EVENT + NULL_USAGE + EVENT + DONE
     assert stream.usage.total_tokens == 5
-    assert (stream.content_events, stream.events, stream.done) == (3, 4, True)
+    assert (stream.content_event_count, stream.event_count, stream.is_complete) == (3, 4, True)
 
 
 def test_usage_is_kept_where_the_caller_asked_for_it():
-    stream = ChatStream("chatcmpl-1", keep_usage=True)
+    stream = ChatStream("chatcmpl-1", include_usage=True)
     assert stream.check(STREAM) == STREAM
 
 
 def test_a_stream_that_ends_inside_an_event_is_cut():
     with pytest.raises(AnswerCut):
-        list(whole_events([EVENT, EVENT[:20]]))
+        list(complete_events([EVENT, EVENT[:20]]))
 
 
 def test_an_endless_event_is_cut():
     with pytest.raises(AnswerCut):
-        list(whole_events([b"x" * 600_000] * 3))
+        list(complete_events([b"x" * 600_000] * 3))
 
 
 @pytest.mark.parametrize("data", [EVENT.replace(b"-1", b"-2"), EVENT + EVENT.replace(b"-1", b"-2")])
 def test_an_event_with_another_id_is_foreign(data):
     with pytest.raises(ForeignAnswer):
-        ChatStream("chatcmpl-1", keep_usage=True).check(data)
+        ChatStream("chatcmpl-1", include_usage=True).check(data)
 
 
 def test_events_after_the_end_are_foreign():
-    stream = ChatStream("chatcmpl-1", keep_usage=True)
+    stream = ChatStream("chatcmpl-1", include_usage=True)
     stream.check(STREAM)
     with pytest.raises(ForeignAnswer):
         stream.check(EVENT)
--- a/whinrack/http1/_client.py
+++ b/whinrack/http1/_client.py
@@ -43,7 +43,7 @@
         self.idle_seconds = _DEFAULT_IDLE_SECONDS
         self.released_at = 0.0
         # The target has ended its side by its own will: nothing more comes, nothing is lost.
-        self.ended = False
+        self.is_closed_by_target = False
         self._protocol = h11.Connection(h11.CLIENT, max_incomplete_event_size=_HEAD_BYTES)
         self._request: RequestHead | None = None
         self._closed = False
@@ -52,7 +52,7 @@
         self._waiting_event = None
 
     @classmethod
-    def open(cls, address: tuple[str, int], seconds: float) -> "TargetConnection":
+    def connect(cls, address: tuple[str, int], timeout: float) -> "TargetConnection":
         """Connect.
 
         Raises
@@ -60,12 +60,12 @@
         TargetUnavailable
         """
         try:
-            sock = _connect(address, seconds)
+            sock = _connect(address, timeout)
         except OSError as error:
             raise TargetUnavailable("no connection to the target") from error
         return cls(address, sock)
 
-    def send(self, request: RequestHead, body: bytes, end: float) -> None:
+    def send(self, request: RequestHead, body: bytes, deadline: float) -> None:
         """Send a whole request. A failure on the way shows when the answer is read."""
         self._request = request
         headers = list(request.headers)
@@ -77,11 +77,13 @@
         events.append(h11.EndOfMessage())
         data = b"".join(self._protocol.send(event) for event in events)
         self.sent_bytes, self.received_bytes = len(data), 0
-        self.sock.settimeout(max(0.001, end - steady()))
+        self.sock.settimeout(max(0.001, deadline - steady()))
         with contextlib.suppress(OSError):
             self.sock.sendall(data)
 
-    def read_head(self, end: float, is_own: Callable[[Headers], bool]) -> ResponseHead:
+    def read_head(
+        self, deadline: float, is_own_response: Callable[[Headers], bool]
+    ) -> ResponseHead:
         """Read the answer's head; whole answers to other requests are skipped.
 
         Raises
@@ -89,25 +91,25 @@
         AnswerCut, AttemptTimeout
         """
         for _ in range(_MOST_FOREIGN):
-            event = self._next_event(end)
+            event = self._next_event(deadline)
             while isinstance(event, h11.InformationalResponse):
-                event = self._next_event(end)
+                event = self._next_event(deadline)
             if not isinstance(event, h11.Response):
                 raise AnswerCut("the target closed without an answer")
-            if is_own(event.headers):
+            if is_own_response(event.headers):
                 self._learn_idle(event.headers)
                 return ResponseHead(event.status_code, list(event.headers))
-            self._skip_foreign(end)
+            self._skip_foreign(deadline)
         raise AnswerCut("the target answers other requests only")
 
-    def read_data(self, end: float) -> bytes | None:
+    def read_data(self, deadline: float) -> bytes | None:
         """Return the next bytes of the body, all that have arrived; None at its end.
 
         Raises
         ------
         AnswerCut, AttemptTimeout
         """
-        event = self._next_event(end)
+        event = self._next_event(deadline)
         if isinstance(event, h11.Data):
             return bytes(event.data) + self._rest_of_data()
         if isinstance(event, h11.EndOfMessage):
@@ -131,24 +133,24 @@
                 self._waiting_event = event
         return b"".join(parts)
 
-    def pieces(self, end: float) -> Iterator[bytes]:
+    def iter_data(self, deadline: float) -> Iterator[bytes]:
         """Yield the body to its end; raises as `read_data` does."""
-        while (data := self.read_data(end)) is not None:
+        while (data := self.read_data(deadline)) is not None:
             yield data
 
-    def finish_sending(self) -> None:
+    def close_write(self) -> None:
         """Close the sending side: a target that notices ends its work, then its side."""
         with contextlib.suppress(OSError):
             self.sock.shutdown(socket.SHUT_WR)
 
-    def reusable(self) -> bool:
+    def is_reusable(self) -> bool:
         """Whether the answer ended cleanly and nothing unread is left."""
         protocol = self._protocol
         done = protocol.our_state is h11.DONE and protocol.their_state is h11.DONE
-        clean = not self._closed and not self.ended and not protocol.trailing_data[0]
+        clean = not self._closed and not self.is_closed_by_target and not protocol.trailing_data[0]
         return done and clean
 
-    def prepare_next(self) -> bool:
+    def prepare_reuse(self) -> bool:
         """Get ready for another request; False if the connection is of no more use."""
         if steady() - self.released_at > self.idle_seconds * _IDLE_PART:
             return False
@@ -193,7 +195,7 @@
         if self._aborted:
             # Without this an answer that its connection's end frames would look whole.
             raise AnswerCut("the target has started anew")
-        self.ended = self.ended or not data
+        self.is_closed_by_target = self.is_closed_by_target or not data
         self.received_bytes += len(data)
         try:
             self._protocol.receive_data(data)
@@ -202,7 +204,7 @@
 
     def _skip_foreign(self, end: float) -> None:
         """Read a late answer to another request to its end and wait for the own one."""
-        for _ in self.pieces(end):
+        for _ in self.iter_data(end):
             pass
         rest, closed = self._protocol.trailing_data
         if closed or self._protocol.their_state is not h11.DONE:
@@ -231,12 +233,12 @@
         self._idle: dict[tuple[str, int], list[TargetConnection]] = {}
 
     @property
-    def connect_seconds(self) -> float:
+    def connect_timeout(self) -> float:
         """Patience with a new connection."""
         least, most = _CONNECT_BOUNDS
         return min(most, max(least, _CONNECT_FACTOR * self._usual_seconds))
 
-    def take(self, address: tuple[str, int], end: float) -> TargetConnection:
+    def acquire(self, address: tuple[str, int], deadline: float) -> TargetConnection:
         """Return a kept connection, or a new one.
 
         Raises
@@ -246,26 +248,28 @@
         idle = self._idle.get(address, [])
         while idle:
             connection = idle.pop()
-            if connection.prepare_next():
+            if connection.prepare_reuse():
                 return connection
             connection.close()
         began = steady()
         try:
-            return TargetConnection.open(address, max(0.01, min(self.connect_seconds, end - began)))
+            return TargetConnection.connect(
+                address, max(0.01, min(self.connect_timeout, deadline - began))
+            )
         finally:
             # Failed ones too: where all fail after the same time, the link is to blame.
             took = steady() - began
             self._usual_seconds += _CONNECT_WEIGHT * (took - self._usual_seconds)
 
-    def give_back(self, connection: TargetConnection) -> None:
+    def release(self, connection: TargetConnection) -> None:
         """Keep a connection whose answer ended cleanly; close any other."""
-        if not connection.reusable():
+        if not connection.is_reusable():
             connection.close()
             return
         connection.released_at = steady()
         self._idle.setdefault(connection.address, []).append(connection)
 
-    def forget(self, address: tuple[str, int]) -> None:
+    def close_idle(self, address: tuple[str, int]) -> None:
         """Close the idle connections to an address."""
         for connection in self._idle.pop(address, []):
             connection.close()
--- a/whinrack/http1/_connection.py
+++ b/whinrack/http1/_connection.py
@@ -18,10 +18,10 @@
     Refusal,
     RequestTimeout,
 )
-from whinrack.http1._exchange import AnswerSink, Exchange, ServerLimits
+from whinrack.http1._exchange import Exchange, ResponseWriter, ServerLimits
 from whinrack.http1._messages import Headers, RequestHead
 
-__all__ = ["CallerConnection", "ConnectionHost"]
+__all__ = ["CallerConnection", "ServerBase"]
 
 _READ_BYTES = 65_536
 _EARLY_BYTES = 262_144
@@ -31,12 +31,12 @@
 _RESET_ON_CLOSE = struct.pack("ii", 1, 0)
 
 
-class ConnectionHost:
+class ServerBase:
     """What all connections of a server have in common.
 
     Attributes
     ----------
-    handle, refuse, limits : callable
+    handle, refusal_response, limits : callable
         See `HttpServer`.
     closing, crowded : bool
         Answers say that their connection closes after them: for good, or so that callers
@@ -48,21 +48,21 @@
     def __init__(
         self,
         handle: Callable[[Exchange], None],
-        refuse: Callable[[Refusal], tuple[int, Headers, bytes]],
+        refusal_response: Callable[[Refusal], tuple[int, Headers, bytes]],
         limits: Callable[[], ServerLimits],
     ):
         self.handle = handle
-        self.refuse = refuse
+        self.refusal_response = refusal_response
         self.limits = limits
-        self.closing = False
-        self.crowded = False
+        self.is_closing = False
+        self.is_crowded = False
         self.connections: set[CallerConnection] = set()
 
 
-class CallerConnection(AnswerSink):
+class CallerConnection(ResponseWriter):
     """A kept connection of one caller."""
 
-    def __init__(self, server: ConnectionHost, sock):
+    def __init__(self, server: ServerBase, sock):
         self.server = server
         self.sock = sock
         head_bytes = server.limits().head_bytes
@@ -189,7 +189,7 @@
         finally:
             self._handling = None
             watcher.kill()
-        if not exchange.ended:
+        if not exchange.is_finished:
             raise CallerGone("the answer was broken off")
 
     def _has_left(self) -> bool:
@@ -228,14 +228,14 @@
     def _refuse(self, refusal: Refusal) -> None:
         """Answer a request that could not be read; what follows it is not read."""
         self._keep = False
-        self.send_response(*self.server.refuse(refusal))
+        self.send_response(*self.server.refusal_response(refusal))
 
     # --- writing -----------------------------------------------------------------
 
     def send_response(self, status: int, headers: Headers, body: bytes | None) -> None:
         """Send an answer's head, and its whole body unless that comes in pieces."""
         framing = [] if body is None else [(b"content-length", b"%d" % len(body))]
-        self._keep = self._keep and not (self.server.closing or self.server.crowded)
+        self._keep = self._keep and not (self.server.is_closing or self.server.is_crowded)
         if self._keep:
             idle = max(1, int(self.server.limits().idle_seconds))
             connection = (b"keep-alive", b"timeout=%d" % idle)
@@ -247,11 +247,11 @@
             events += [h11.Data(data=body), h11.EndOfMessage()]
         self._send(*events)
 
-    def send_piece(self, data: bytes) -> None:
+    def send_data(self, data: bytes) -> None:
         """Send a piece of an answer."""
         self._send(h11.Data(data=data))
 
-    def end_pieces(self) -> None:
+    def end_response(self) -> None:
         """End an answer that came in pieces."""
         self._send(h11.EndOfMessage())
 
--- a/whinrack/http1/_exchange.py
+++ b/whinrack/http1/_exchange.py
@@ -5,7 +5,7 @@
 from whinrack.clock import steady
 from whinrack.http1._messages import Headers, RequestHead
 
-__all__ = ["AnswerSink", "Exchange", "ServerLimits"]
+__all__ = ["ResponseWriter", "Exchange", "ServerLimits"]
 
 
 class ServerLimits(msgspec.Struct, frozen=True):
@@ -33,18 +33,18 @@
     write_seconds: float = 15.0
 
 
-class AnswerSink:
+class ResponseWriter:
     """Where the parts of an answer go."""
 
     def send_response(self, status: int, headers: Headers, body: bytes | None) -> None:
         """Send a head, and the whole body with its length unless it is None."""
         raise NotImplementedError
 
-    def send_piece(self, data: bytes) -> None:
+    def send_data(self, data: bytes) -> None:
         """Send a part of a body that comes in pieces."""
         raise NotImplementedError
 
-    def end_pieces(self) -> None:
+    def end_response(self) -> None:
         """End such a body as a whole one."""
         raise NotImplementedError
 
@@ -64,13 +64,13 @@
         Whether the head of an answer has been sent.
     """
 
-    def __init__(self, connection: AnswerSink, head: RequestHead, body: bytes):
+    def __init__(self, connection: ResponseWriter, head: RequestHead, body: bytes):
         self._connection = connection
         self.head = head
         self.body = body
-        self.arrived = steady()
-        self.started = False
-        self.ended = False
+        self.received_at = steady()
+        self.is_started = False
+        self.is_finished = False
 
     def respond(self, status: int, headers: Headers, body: bytes) -> None:
         """Send a whole answer.
@@ -79,20 +79,20 @@
         ------
         CallerGone
         """
-        self.started = True
+        self.is_started = True
         self._connection.send_response(status, headers, body)
-        self.ended = True
+        self.is_finished = True
 
-    def start(self, status: int, headers: Headers) -> None:
+    def start_response(self, status: int, headers: Headers) -> None:
         """Send the head of an answer that comes in pieces."""
-        self.started = True
+        self.is_started = True
         self._connection.send_response(status, headers, None)
 
     def write(self, data: bytes) -> None:
         """Send a piece of the answer."""
-        self._connection.send_piece(data)
+        self._connection.send_data(data)
 
     def finish(self) -> None:
         """End the answer as a whole one."""
-        self._connection.end_pieces()
-        self.ended = True
+        self._connection.end_response()
+        self.is_finished = True
--- a/whinrack/http1/_server.py
+++ b/whinrack/http1/_server.py
@@ -6,7 +6,7 @@
 import eventlet
 
 from whinrack.exceptions import Refusal
-from whinrack.http1._connection import CallerConnection, ConnectionHost
+from whinrack.http1._connection import CallerConnection, ServerBase
 from whinrack.http1._exchange import Exchange, ServerLimits
 from whinrack.http1._messages import Headers
 
@@ -19,7 +19,7 @@
     return refusal.status, [], b""
 
 
-class HttpServer(ConnectionHost):
+class HttpServer(ServerBase):
     """Listens, reads requests and calls a handler for each.
 
     Parameters
@@ -30,7 +30,7 @@
         Called with an `Exchange` in a green thread. An exchange that it leaves without
         an end is broken off by closing the connection. `CallerGone` is raised inside
         it as soon as the caller leaves.
-    refuse : callable, optional
+    refusal_response : callable, optional
         Turns a `Refusal` of a malformed request into status, headers and body; without
         it the status alone is told.
     limits : callable, optional
@@ -41,10 +41,10 @@
         self,
         address: tuple[str, int],
         handle: Callable[[Exchange], None],
-        refuse: Callable[[Refusal], tuple[int, Headers, bytes]] = _refuse_by_status,
+        refusal_response: Callable[[Refusal], tuple[int, Headers, bytes]] = _refuse_by_status,
         limits: Callable[[], ServerLimits] = ServerLimits,
     ):
-        super().__init__(handle, refuse, limits)
+        super().__init__(handle, refusal_response, limits)
         self.address = address
         self._listener = None
 
--- a/whinrack/http1/tests/test_client.py
+++ b/whinrack/http1/tests/test_client.py
@@ -45,13 +45,13 @@
 def ask(pool, server, end=None):
     """Send a request and read its answer; the connection goes back to the pool."""
     end = end or soon()
-    connection = pool.take(server.address, end)
+    connection = pool.acquire(server.address, end)
     try:
         connection.send(REQUEST, b"", end)
         head = connection.read_head(end, is_own)
-        return head, b"".join(connection.pieces(end))
+        return head, b"".join(connection.iter_data(end))
     finally:
-        pool.give_back(connection)
+        pool.release(connection)
 
 
 def test_whole_answers_share_one_connection(serve):
@@ -75,7 +75,7 @@
     pool, server = ConnectionPool(), serve(script)
     for _ in range(2):
         ask(pool, server)
-    connection = pool.take(server.address, soon())
+    connection = pool.acquire(server.address, soon())
     assert (connection.sent_bytes, connection.received_bytes) == (35, len(WHOLE))
 
 
@@ -101,7 +101,7 @@
 
     server, pool = serve(script), ConnectionPool()
     end = soon()
-    connection = pool.take(server.address, end)
+    connection = pool.acquire(server.address, end)
     connection.send(REQUEST, b"", end)
     assert connection.read_head(end, is_own).status == 200
     assert connection.read_data(end) == b"half of"
@@ -189,10 +189,10 @@
 
     server, pool = serve(script), ConnectionPool()
     ask(pool, server)
-    connection = pool.take(server.address, soon())
+    connection = pool.acquire(server.address, soon())
     assert server.accepted == 1
     connection.released_at = steady() - 0.6
-    assert not connection.prepare_next()
+    assert not connection.prepare_reuse()
 
 
 def test_silence_is_a_timeout(serve):
@@ -212,7 +212,7 @@
         free.bind(("127.0.0.1", 0))
         address = free.getsockname()
     with pytest.raises(TargetUnavailable):
-        ConnectionPool().take(address, soon())
+        ConnectionPool().acquire(address, soon())
 
 
 def test_pieces_that_arrived_together_are_read_together(serve):
@@ -224,12 +224,12 @@
         sock.sendall(WHOLE)
 
     server, pool, end = serve(script), ConnectionPool(), soon()
-    connection = pool.take(server.address, end)
+    connection = pool.acquire(server.address, end)
     connection.send(REQUEST, b"", end)
     connection.read_head(end, is_own)
     eventlet.sleep(0.05)
-    assert list(connection.pieces(end)) == [b"abc"]
-    pool.give_back(connection)
+    assert list(connection.iter_data(end)) == [b"abc"]
+    pool.release(connection)
     assert ask(pool, server)[1] == b"ok"
 
 
@@ -240,11 +240,11 @@
         sock.sendall(head + b"1\r\na\r\nnonsense\r\n")
 
     server, pool, end = serve(script), ConnectionPool(), soon()
-    connection = pool.take(server.address, end)
+    connection = pool.acquire(server.address, end)
     connection.send(REQUEST, b"", end)
     connection.read_head(end, is_own)
     eventlet.sleep(0.05)
-    pieces = connection.pieces(end)
+    pieces = connection.iter_data(end)
     assert next(pieces) == b"a"
     with pytest.raises(AnswerCut):
         next(pieces)
@@ -252,18 +252,18 @@
 
 def test_patience_with_new_connections_follows_what_they_usually_take(serve, monkeypatch):
     pool = ConnectionPool()
-    assert pool.connect_seconds == 0.3
+    assert pool.connect_timeout == 0.3
     clock = iter(range(1000))
     monkeypatch.setattr("whinrack.http1._client.steady", lambda: next(clock) / 10)
     server = serve(lambda sock: sock.recv(1))
     for _ in range(30):
-        pool.take(server.address, 1e9).close()
-    assert 0.7 < pool.connect_seconds < 0.9
+        pool.acquire(server.address, 1e9).close()
+    assert 0.7 < pool.connect_timeout < 0.9
 
 
 def test_connections_to_targets_are_probed_by_the_kernel(serve):
     server = serve(lambda sock: None)
-    connection = ConnectionPool().take(server.address, soon())
+    connection = ConnectionPool().acquire(server.address, soon())
     for level, option, value in KEEPALIVE_OPTIONS:
         assert connection.sock.getsockopt(level, option) == value
 
@@ -290,13 +290,13 @@
 
     server, pool = serve(script), ConnectionPool()
     end = soon()
-    connection = pool.take(server.address, end)
+    connection = pool.acquire(server.address, end)
     connection.send(REQUEST, b"", end)
     connection.read_head(end, is_own)
     eventlet.spawn_after(0.2, connection.abort)
     began = steady()
     with pytest.raises(AnswerCut):
-        b"".join(connection.pieces(end))
+        b"".join(connection.iter_data(end))
     assert steady() - began < 1.0
 
 
@@ -307,6 +307,6 @@
 
     server, pool = serve(script), ConnectionPool()
     ask(pool, server)
-    pool.forget(server.address)
+    pool.close_idle(server.address)
     ask(pool, server)
     assert server.accepted == 2
--- a/whinrack/http1/tests/test_server.py
+++ b/whinrack/http1/tests/test_server.py
@@ -57,7 +57,7 @@
             lambda refusal: (refusal.status, [], refusal.code.encode()),
             lambda: LIMITS,
         )
-        server.closing = closing
+        server.is_closing = closing
         server.start()
         return lambda: talk(Caller(server.address))
 
@@ -131,7 +131,7 @@
 
 def test_an_answer_in_pieces_ends_with_its_last_chunk():
     def pieces(exchange):
-        exchange.start(200, [])
+        exchange.start_response(200, [])
         exchange.write(b"one")
         exchange.write(b"two")
         exchange.finish()
@@ -145,7 +145,7 @@
 
 def test_an_answer_that_is_left_without_an_end_has_no_last_chunk():
     def half(exchange):
-        exchange.start(200, [])
+        exchange.start_response(200, [])
         exchange.write(b"one")
 
     def talk(caller):
@@ -158,7 +158,7 @@
 
 def test_an_old_caller_sees_a_broken_off_answer_as_a_reset():
     def half(exchange):
-        exchange.start(200, [])
+        exchange.start_response(200, [])
         exchange.write(b"one")
 
     def talk(caller):
--- a/whinrack/objects/__init__.py
+++ b/whinrack/objects/__init__.py
@@ -2,7 +2,7 @@
 
 from whinrack.objects._checks import check_name, check_references, check_spec, decode_spec
 from whinrack.objects._declarations import Declaration, load_declarations
-from whinrack.objects._keys import hash_secret, key_name, make_key, verify_key
+from whinrack.objects._keys import hash_secret, make_key, parse_key_name, verify_key
 from whinrack.objects._kinds import (
     DECLARED_KINDS,
     ApiKey,
@@ -39,7 +39,7 @@
     "check_spec",
     "decode_spec",
     "hash_secret",
-    "key_name",
+    "parse_key_name",
     "load_declarations",
     "make_key",
     "verify_key",
--- a/whinrack/objects/_keys.py
+++ b/whinrack/objects/_keys.py
@@ -7,7 +7,7 @@
 
 from whinrack.objects._kinds import ApiKey
 
-__all__ = ["KEY_PATTERN", "hash_secret", "key_name", "make_key", "verify_key"]
+__all__ = ["KEY_PATTERN", "hash_secret", "parse_key_name", "make_key", "verify_key"]
 
 KEY_PATTERN = re.compile(r"wr_([a-z0-9.-]{1,63})_([A-Za-z0-9-]{16,128})")
 _SECRET_BYTES = 24
@@ -34,7 +34,7 @@
     return f"wr_{name}_{secret}", key
 
 
-def key_name(bearer: str) -> str | None:
+def parse_key_name(bearer: str) -> str | None:
     """Return the name of the ApiKey object a bearer key claims, None if malformed."""
     match = KEY_PATTERN.fullmatch(bearer)
     return match.group(1) if match else None
--- a/whinrack/server/_auth.py
+++ b/whinrack/server/_auth.py
@@ -4,7 +4,7 @@
 
 from whinrack.exceptions import Forbidden, Unauthorized
 from whinrack.feed import ConfigStore
-from whinrack.objects import ApiKey, Budget, Workspace, key_name, verify_key
+from whinrack.objects import ApiKey, Budget, Workspace, parse_key_name, verify_key
 from whinrack.server._http import HttpRequest
 
 __all__ = ["Authenticator", "Caller"]
@@ -47,7 +47,7 @@
         if not text.lower().startswith(_BEARER_PREFIX):
             raise Unauthorized("a bearer key is needed")
         bearer = text[len(_BEARER_PREFIX) :].strip()
-        name = key_name(bearer)
+        name = parse_key_name(bearer)
         key = self.config.get(ApiKey, name) if name else None
         if key is None or not verify_key(bearer, key):
             raise Unauthorized("the key is unknown")
--- a/whinrack/server/_chat.py
+++ b/whinrack/server/_chat.py
@@ -12,10 +12,10 @@
     ChatStream,
     Usage,
     body_chunks,
+    complete_events,
+    is_busy_response,
     read_body,
-    refused_unstarted,
-    retry_after,
-    whole_events,
+    retry_after_seconds,
 )
 from whinrack.exceptions import (
     AnswerCut,
@@ -189,11 +189,11 @@
         if isinstance(reply, Failure):
             return reply
         response = reply.unwrap()
-        if refused_unstarted(response):
+        if is_busy_response(response):
             response.drain_conn()
             response.release_conn()
             call.slot.target.record_overload()
-            call.slot.target.start_backoff(retry_after(response), steady())
+            call.slot.target.start_backoff(retry_after_seconds(response), steady())
             return Failure(TargetUnavailable("the target is busy", retry_after=1.0))
         if response.status >= 500:
             response.close()
@@ -250,7 +250,7 @@
             The streamed answer, or the failure.
         """
         call.stream = ChatStream(call.answer_id, self._caller_wants_usage(call))
-        events = whole_events(body_chunks(response))
+        events = complete_events(body_chunks(response))
         try:
             first = self._next_events(call, events)
         except TargetFailed as failure:
@@ -282,7 +282,7 @@
         if data is None:
             raise AnswerCut("the stream ended without its end marker")
         checked = call.stream.check(data)
-        if call.stream.content_events > call.max_content_events:
+        if call.stream.content_event_count > call.max_content_events:
             raise AnswerCut("the engine exceeded the output limit")
         return checked
 
@@ -290,7 +290,7 @@
         """Yield an answer to its caller; settle, bill and end the call in every case."""
         append = call.answer.append
         try:
-            while not call.stream.done:
+            while not call.stream.is_complete:
                 append(data)
                 yield data
                 try:
@@ -300,7 +300,7 @@
                     data = self._next_events(call, events)
             self._check_event_count(call)
             self._record_success(call)
-            call.settlement.settle(call.stream.usage, events=call.stream.content_events)
+            call.settlement.settle(call.stream.usage, events=call.stream.content_event_count)
             call.settlement.wait_committed()
             append(data)
             # From here on the answer is complete and billed, even if the caller disconnects.
@@ -324,7 +324,7 @@
         usage = call.stream.usage
         if usage is not None:
             max_events = usage.completion_tokens + call.chat.n
-            if call.stream.content_events > max_events:
+            if call.stream.content_event_count > max_events:
                 raise AnswerCut("the answer has more events than the engine reports tokens")
 
     def _end_cut_answer(self, call: ChatCall, response, failure: TargetFailed) -> bytes:
@@ -351,7 +351,7 @@
         self.finish(call, is_complete=False)
 
     def _cancel_and_settle(self, call: ChatCall) -> None:
-        call.settlement.settle(self._cancel(call), events=call.stream.content_events)
+        call.settlement.settle(self._cancel(call), events=call.stream.content_event_count)
 
     def _write_off(self, call: ChatCall) -> None:
         """Write off the cover of an attempt that may have run but gave no answer."""
@@ -384,20 +384,20 @@
         response.close()
         if (
             call.resume_count >= _MAX_RESUMES
-            or call.stream.content_events > call.max_content_events
+            or call.stream.content_event_count > call.max_content_events
         ):
             raise cut
         call.resume_count += 1
         resumed = self.context.target_client.resume(
             call.slot.target.spec.address,
             call.identity.request_id,
-            call.stream.events,
+            call.stream.event_count,
             call.time_left(),
         )
         if resumed is None:
             raise cut
         self.context.metrics.retries.labels("resumed").inc()
-        return resumed, whole_events(body_chunks(resumed))
+        return resumed, complete_events(body_chunks(resumed))
 
     def _resume_at_candidates(self, call: ChatCall) -> HttpAnswer | None:
         """Resume the stream of a lost instance at an engine that still holds it.
--- a/whinrack/server/_services.py
+++ b/whinrack/server/_services.py
@@ -6,7 +6,7 @@
 
 from whinrack.base import Outcome
 from whinrack.clock import steady
-from whinrack.engines import body_chunks, refused_unstarted, retry_after
+from whinrack.engines import body_chunks, is_busy_response, retry_after_seconds
 from whinrack.exceptions import AnswerCut, Refusal, TargetFailed, TargetUnavailable, UnknownPool
 from whinrack.objects import Protocol
 from whinrack.requests import RequestIdentity
@@ -104,10 +104,10 @@
         if isinstance(reply, Failure):
             return reply
         response = reply.unwrap()
-        if refused_unstarted(response) and response.headers.get("Whinrack-Started") == "no":
+        if is_busy_response(response) and response.headers.get("Whinrack-Started") == "no":
             response.close()
             call.slot.target.record_overload()
-            call.slot.target.start_backoff(retry_after(response), steady())
+            call.slot.target.start_backoff(retry_after_seconds(response), steady())
             return Failure(TargetUnavailable("the target is busy", retry_after=1.0))
         chunks = body_chunks(response)
         try:
--- a/whinrack/server/_tasks.py
+++ b/whinrack/server/_tasks.py
@@ -133,7 +133,7 @@
         return heapq.nlargest(_MAX_LOAD_READS, targets, key=lambda target: target.in_flight)
 
     def _read_load(self, target) -> None:
-        load = self.context.target_client.load(target.spec.address)
+        load = self.context.target_client.fetch_load(target.spec.address)
         if load is not None:
             self.context.pool_directory.record_load(target, load)
 
