--- a/whinrack/http1/_client.py
+++ b/whinrack/http1/_client.py
@@ -21,14 +21,14 @@
 # seconds at least and at most. Targets are a few milliseconds away, and a lost opening packet
 # is sent again after a second; but an instance whose own link or processor is full must not
 # take that for a fault of its targets.
-_CONNECT_FACTOR = 8.0
-_CONNECT_BOUNDS = (0.3, 1.0)
+_CONNECT_TIMEOUT_FACTOR = 8.0
+_CONNECT_TIMEOUT_BOUNDS = (0.3, 1.0)
 # Weight of the latest connection in the usual time.
-_CONNECT_WEIGHT = 0.1
+_CONNECT_TIME_WEIGHT = 0.1
 _DEFAULT_IDLE_SECONDS = 4.0
 # Part of a target's stated idle time for which a connection is used again.
-_IDLE_PART = 0.5
-_MOST_FOREIGN = 4
+_IDLE_FRACTION = 0.5
+_MAX_UNRELATED_RESPONSES = 4
 
 
 class TargetConnection:
@@ -49,7 +49,7 @@
         self._closed = False
         self._aborted = False
         # Was met behind data that had arrived with it; the next one to be returned.
-        self._waiting_event = None
+        self._pending_event = None
 
     @classmethod
     def connect(cls, address: tuple[str, int], timeout: float) -> "TargetConnection":
@@ -90,16 +90,16 @@
         ------
         AnswerCut, AttemptTimeout
         """
-        for _ in range(_MOST_FOREIGN):
+        for _ in range(_MAX_UNRELATED_RESPONSES):
             event = self._next_event(deadline)
             while isinstance(event, h11.InformationalResponse):
                 event = self._next_event(deadline)
             if not isinstance(event, h11.Response):
                 raise AnswerCut("the target closed without an answer")
             if is_own_response(event.headers):
-                self._learn_idle(event.headers)
+                self._update_idle_seconds(event.headers)
                 return ResponseHead(event.status_code, list(event.headers))
-            self._skip_foreign(deadline)
+            self._skip_unrelated_response(deadline)
         raise AnswerCut("the target answers other requests only")
 
     def read_data(self, deadline: float) -> bytes | None:
@@ -111,15 +111,15 @@
         """
         event = self._next_event(deadline)
         if isinstance(event, h11.Data):
-            return bytes(event.data) + self._rest_of_data()
+            return bytes(event.data) + self._read_buffered_data()
         if isinstance(event, h11.EndOfMessage):
             return None
         raise AnswerCut("the answer ended early")
 
-    def _rest_of_data(self) -> bytes:
+    def _read_buffered_data(self) -> bytes:
         """Return what more of the body has been received, without waiting."""
         parts = []
-        while self._waiting_event is None:
+        while self._pending_event is None:
             try:
                 event = self._protocol.next_event()
             except h11.RemoteProtocolError:
@@ -130,7 +130,7 @@
             if isinstance(event, h11.Data):
                 parts.append(bytes(event.data))
             else:
-                self._waiting_event = event
+                self._pending_event = event
         return b"".join(parts)
 
     def iter_data(self, deadline: float) -> Iterator[bytes]:
@@ -152,9 +152,9 @@
 
     def prepare_reuse(self) -> bool:
         """Get ready for another request; False if the connection is of no more use."""
-        if steady() - self.released_at > self.idle_seconds * _IDLE_PART:
+        if steady() - self.released_at > self.idle_seconds * _IDLE_FRACTION:
             return False
-        if _readable(self.sock):
+        if _is_readable(self.sock):
             # Closed by the target, or an answer that nobody asked for.
             return False
         self._protocol.start_next_cycle()
@@ -172,9 +172,9 @@
             self._closed = True
             self.sock.close()
 
-    def _next_event(self, end: float):
-        if self._waiting_event is not None:
-            event, self._waiting_event = self._waiting_event, None
+    def _next_event(self, deadline: float):
+        if self._pending_event is not None:
+            event, self._pending_event = self._pending_event, None
             return event
         while True:
             try:
@@ -183,11 +183,11 @@
                 raise AnswerCut("the target's bytes are no answer") from error
             if event is not h11.NEED_DATA:
                 return event
-            self._receive(end)
+            self._receive(deadline)
 
-    def _receive(self, end: float) -> None:
+    def _receive(self, deadline: float) -> None:
         try:
-            data = receive(self.sock, _READ_BYTES, end)
+            data = receive(self.sock, _READ_BYTES, deadline)
         except TimeoutError as error:
             raise AttemptTimeout("the target gave no answer in time") from error
         except OSError as error:
@@ -202,9 +202,9 @@
         except h11.RemoteProtocolError as error:
             raise AnswerCut("the target's bytes are no answer") from error
 
-    def _skip_foreign(self, end: float) -> None:
+    def _skip_unrelated_response(self, deadline: float) -> None:
         """Read a late answer to another request to its end and wait for the own one."""
-        for _ in self.iter_data(end):
+        for _ in self.iter_data(deadline):
             pass
         rest, closed = self._protocol.trailing_data
         if closed or self._protocol.their_state is not h11.DONE:
@@ -218,7 +218,7 @@
         if rest:
             self._protocol.receive_data(rest)
 
-    def _learn_idle(self, headers: Headers) -> None:
+    def _update_idle_seconds(self, headers: Headers) -> None:
         for part in header_value(headers, b"keep-alive").split(b","):
             name, _, value = part.strip().partition(b"=")
             if name.lower() == b"timeout" and value.isdigit():
@@ -229,14 +229,14 @@
     """Idle connections by target, the one used last first."""
 
     def __init__(self):
-        self._usual_seconds = 0.0
+        self._average_connect_seconds = 0.0
         self._idle: dict[tuple[str, int], list[TargetConnection]] = {}
 
     @property
     def connect_timeout(self) -> float:
         """Patience with a new connection."""
-        least, most = _CONNECT_BOUNDS
-        return min(most, max(least, _CONNECT_FACTOR * self._usual_seconds))
+        lowest, highest = _CONNECT_TIMEOUT_BOUNDS
+        return min(highest, max(lowest, _CONNECT_TIMEOUT_FACTOR * self._average_connect_seconds))
 
     def acquire(self, address: tuple[str, int], deadline: float) -> TargetConnection:
         """Return a kept connection, or a new one.
@@ -259,7 +259,9 @@
         finally:
             # Failed ones too: where all fail after the same time, the link is to blame.
             took = steady() - began
-            self._usual_seconds += _CONNECT_WEIGHT * (took - self._usual_seconds)
+            self._average_connect_seconds += _CONNECT_TIME_WEIGHT * (
+                took - self._average_connect_seconds
+            )
 
     def release(self, connection: TargetConnection) -> None:
         """Keep a connection whose answer ended cleanly; close any other."""
@@ -281,9 +283,9 @@
                 idle.pop().close()
 
 
-def _connect(address: tuple[str, int], seconds: float):
+def _connect(address: tuple[str, int], timeout: float):
     sock = green_socket.socket(socket.AF_INET, socket.SOCK_STREAM)
-    sock.settimeout(seconds)
+    sock.settimeout(timeout)
     try:
         sock.connect(address)
     except BaseException:
@@ -295,7 +297,7 @@
     return sock
 
 
-def _readable(sock) -> bool:
+def _is_readable(sock) -> bool:
     """Whether bytes or an end wait to be read; the plain socket never blocks."""
     try:
         sock.fd.recv(1, socket.MSG_PEEK)
--- a/whinrack/http1/_connection.py
+++ b/whinrack/http1/_connection.py
@@ -24,8 +24,8 @@
 __all__ = ["CallerConnection", "ServerBase"]
 
 _READ_BYTES = 65_536
-_EARLY_BYTES = 262_144
-_CLOSE_SECONDS = 0.5
+_MAX_PIPELINED_BYTES = 262_144
+_DRAIN_SECONDS = 0.5
 _TOO_LARGE_HEAD = 431
 # SO_LINGER on, with no seconds: a close resets the connection.
 _RESET_ON_CLOSE = struct.pack("ii", 1, 0)
@@ -67,67 +67,67 @@
         self.sock = sock
         head_bytes = server.limits().head_bytes
         self.protocol = h11.Connection(h11.SERVER, max_incomplete_event_size=head_bytes)
-        self.idle = True
-        self._early = b""
-        self._handling: object | None = None
-        self._keep = True
+        self.is_idle = True
+        self._pipelined_data = b""
+        self._handler_token: object | None = None
+        self._keep_alive = True
 
     def serve(self) -> None:
         """Answer requests until one side closes."""
         self.server.connections.add(self)
         try:
-            while self._keep and self._serve_one():
+            while self._keep_alive and self._serve_request():
                 self.protocol.start_next_cycle()
         except (CallerGone, OSError, h11.ProtocolError):
-            self._break_off()
+            self._prepare_abort()
         finally:
             self.server.connections.discard(self)
             self._close()
 
     def close_if_idle(self) -> None:
         """Close the connection if no request has begun on it."""
-        if self.idle:
+        if self.is_idle:
             self._shutdown(socket.SHUT_RDWR)
 
     # --- reading -----------------------------------------------------------------
 
-    def _serve_one(self) -> bool:
+    def _serve_request(self) -> bool:
         limits = self.server.limits()
         try:
             request = self._read_request(limits)
         except Refusal as refusal:
-            self._refuse(refusal)
+            self._send_refusal(refusal)
             return False
         if request is None:
             return False
         head, body = request
-        self._run(Exchange(self, head, body))
-        return self._keep
+        self._run_handler(Exchange(self, head, body))
+        return self._keep_alive
 
     def _read_request(self, limits: ServerLimits) -> tuple[RequestHead, bytes] | None:
         """Return the next request, None if the caller closed before one began."""
-        if not self._await_request(limits.idle_seconds):
+        if not self._wait_for_request(limits.idle_seconds):
             return None
         head = self._read_head(limits)
         if head is None:
             return None
         return head, self._read_body(limits, steady() + limits.body_seconds)
 
-    def _await_request(self, seconds: float) -> bool:
+    def _wait_for_request(self, timeout: float) -> bool:
         """Wait for the first bytes of a request; False if none came."""
-        early, self._early = self._early, b""
-        if not early and not self.protocol.trailing_data[0]:
-            self.idle = True
-            self.sock.settimeout(seconds)
+        data, self._pipelined_data = self._pipelined_data, b""
+        if not data and not self.protocol.trailing_data[0]:
+            self.is_idle = True
+            self.sock.settimeout(timeout)
             try:
-                early = self.sock.recv(_READ_BYTES)
+                data = self.sock.recv(_READ_BYTES)
             except (TimeoutError, OSError):
                 return False
-            if not early:
+            if not data:
                 return False
-        self.idle = False
-        if early:
-            self._receive(early)
+        self.is_idle = False
+        if data:
+            self._receive(data)
         return True
 
     def _read_head(self, limits: ServerLimits) -> RequestHead | None:
@@ -136,14 +136,14 @@
             return None
         if _head_size(event) > limits.head_bytes:
             raise HeadersTooLarge(f"allowed are {limits.head_bytes} bytes")
-        self._keep = not _caller_closes(event)
+        self._keep_alive = not _requests_close(event)
         return RequestHead(event.method, event.target, list(event.headers))
 
-    def _read_body(self, limits: ServerLimits, end: float) -> bytes:
+    def _read_body(self, limits: ServerLimits, deadline: float) -> bytes:
         if self.protocol.they_are_waiting_for_100_continue:
             self._send(h11.InformationalResponse(status_code=100, headers=[]))
         parts, size = [], 0
-        while not isinstance(event := self._next_event(end), h11.EndOfMessage):
+        while not isinstance(event := self._next_event(deadline), h11.EndOfMessage):
             if not isinstance(event, h11.Data):
                 raise BadRequest("the body ended early")
             size += len(event.data)
@@ -152,18 +152,18 @@
             parts.append(bytes(event.data))
         return b"".join(parts)
 
-    def _next_event(self, end: float):
+    def _next_event(self, deadline: float):
         while True:
             try:
                 event = self.protocol.next_event()
             except h11.RemoteProtocolError as error:
-                raise _malformed(error) from error
+                raise _malformed_refusal(error) from error
             if event is not h11.NEED_DATA:
                 return event
-            left = end - steady()
-            if left <= 0:
+            remaining = deadline - steady()
+            if remaining <= 0:
                 raise RequestTimeout("the request took too long to arrive")
-            self.sock.settimeout(left)
+            self.sock.settimeout(remaining)
             try:
                 data = self.sock.recv(_READ_BYTES)
             except TimeoutError as error:
@@ -174,25 +174,25 @@
         try:
             self.protocol.receive_data(data)
         except h11.RemoteProtocolError as error:
-            raise _malformed(error) from error
+            raise _malformed_refusal(error) from error
 
     # --- handling ----------------------------------------------------------------
 
-    def _run(self, exchange: Exchange) -> None:
-        if self._has_left():
+    def _run_handler(self, exchange: Exchange) -> None:
+        if self._is_disconnected():
             raise CallerGone("the caller left before its request was read")
-        token = self._handling = object()
+        token = self._handler_token = object()
         worker = eventlet.getcurrent()
-        watcher = eventlet.spawn(self._watch, worker, token)
+        watcher = eventlet.spawn(self._watch_for_disconnect, worker, token)
         try:
             self.server.handle(exchange)
         finally:
-            self._handling = None
+            self._handler_token = None
             watcher.kill()
         if not exchange.is_finished:
             raise CallerGone("the answer was broken off")
 
-    def _has_left(self) -> bool:
+    def _is_disconnected(self) -> bool:
         """Whether the caller closed while its request waited unread.
 
         The watcher would tell only after the handler's first wait, and over a kept
@@ -205,9 +205,9 @@
         except OSError:
             return True
 
-    def _watch(self, worker, token) -> None:
+    def _watch_for_disconnect(self, worker, token) -> None:
         """Raise `CallerGone` in the handler when the caller closes the connection."""
-        while self._handling is token:
+        while self._handler_token is token:
             try:
                 hubs.trampoline(self.sock.fileno(), read=True)
                 data = self.sock.fd.recv(_READ_BYTES)
@@ -215,19 +215,19 @@
                 continue
             except OSError:
                 data = b""
-            if data and len(self._early) < _EARLY_BYTES:
-                self._early += data
+            if data and len(self._pipelined_data) < _MAX_PIPELINED_BYTES:
+                self._pipelined_data += data
                 continue
-            hubs.get_hub().schedule_call_global(0, self._throw, worker, token)
+            hubs.get_hub().schedule_call_global(0, self._raise_caller_gone, worker, token)
             return
 
-    def _throw(self, worker, token) -> None:
-        if self._handling is token:
+    def _raise_caller_gone(self, worker, token) -> None:
+        if self._handler_token is token:
             worker.throw(CallerGone("the caller left"))
 
-    def _refuse(self, refusal: Refusal) -> None:
+    def _send_refusal(self, refusal: Refusal) -> None:
         """Answer a request that could not be read; what follows it is not read."""
-        self._keep = False
+        self._keep_alive = False
         self.send_response(*self.server.refusal_response(refusal))
 
     # --- writing -----------------------------------------------------------------
@@ -235,8 +235,10 @@
     def send_response(self, status: int, headers: Headers, body: bytes | None) -> None:
         """Send an answer's head, and its whole body unless that comes in pieces."""
         framing = [] if body is None else [(b"content-length", b"%d" % len(body))]
-        self._keep = self._keep and not (self.server.is_closing or self.server.is_crowded)
-        if self._keep:
+        self._keep_alive = self._keep_alive and not (
+            self.server.is_closing or self.server.is_crowded
+        )
+        if self._keep_alive:
             idle = max(1, int(self.server.limits().idle_seconds))
             connection = (b"keep-alive", b"timeout=%d" % idle)
         else:
@@ -265,25 +267,25 @@
 
     # --- closing -----------------------------------------------------------------
 
-    def _break_off(self) -> None:
+    def _prepare_abort(self) -> None:
         """Make sure that an unfinished answer can't be taken for a whole one."""
-        self._keep = True
+        self._keep_alive = True
         unframed = (self.protocol.their_http_version or b"") < b"1.1"
         if self.protocol.our_state is h11.SEND_BODY and unframed:
             self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _RESET_ON_CLOSE)
 
     def _close(self) -> None:
-        if not self._keep:
-            self._linger()
+        if not self._keep_alive:
+            self._drain_before_close()
         self.sock.close()
 
-    def _linger(self) -> None:
+    def _drain_before_close(self) -> None:
         """Let the caller read the last answer: a close over unread bytes would reset it."""
         self._shutdown(socket.SHUT_WR)
-        end = steady() + _CLOSE_SECONDS
+        deadline = steady() + _DRAIN_SECONDS
         try:
-            self.sock.settimeout(_CLOSE_SECONDS)
-            while self.sock.recv(_READ_BYTES) and steady() < end:
+            self.sock.settimeout(_DRAIN_SECONDS)
+            while self.sock.recv(_READ_BYTES) and steady() < deadline:
                 pass
         except OSError:
             pass
@@ -300,7 +302,7 @@
     return line + fields
 
 
-def _caller_closes(request: h11.Request) -> bool:
+def _requests_close(request: h11.Request) -> bool:
     if request.http_version < b"1.1":
         return True
     return any(
@@ -308,7 +310,7 @@
     )
 
 
-def _malformed(error: h11.RemoteProtocolError) -> Refusal:
+def _malformed_refusal(error: h11.RemoteProtocolError) -> Refusal:
     if error.error_status_hint == _TOO_LARGE_HEAD:
         return HeadersTooLarge("the head is larger than allowed")
     return BadRequest("the request is malformed")
--- a/whinrack/http1/_messages.py
+++ b/whinrack/http1/_messages.py
@@ -59,8 +59,12 @@
 
 def end_to_end_headers(headers: Headers) -> Headers:
     """Return the headers that are not about one connection only."""
-    named = set()
+    connection_options = set()
     for key, value in headers:
         if key == b"connection":
-            named.update(token.strip().lower() for token in value.split(b","))
-    return [(key, value) for key, value in headers if key not in _HOP_BY_HOP and key not in named]
+            connection_options.update(token.strip().lower() for token in value.split(b","))
+    return [
+        (key, value)
+        for key, value in headers
+        if key not in _HOP_BY_HOP and key not in connection_options
+    ]
--- a/whinrack/http1/tests/_green.py
+++ b/whinrack/http1/tests/_green.py
@@ -9,12 +9,12 @@
 
 def run_green(main):
     """Call `main` in the hub; the blocking function that it returns runs in a thread."""
-    talk = main()
+    client = main()
     results = []
 
     def run():
         try:
-            results.append((talk(), None))
+            results.append((client(), None))
         except BaseException as error:
             results.append((None, error))
 
--- a/whinrack/http1/tests/test_server.py
+++ b/whinrack/http1/tests/test_server.py
@@ -47,10 +47,10 @@
         return data
 
 
-def serve(handle, talk, closing=False):
+def serve(handle, client, closing=False):
     """Run a server and a caller's script against it; returns what the script returns."""
 
-    def main():
+    def run_server():
         server = HttpServer(
             ("127.0.0.1", 0),
             handle,
@@ -59,29 +59,29 @@
         )
         server.is_closing = closing
         server.start()
-        return lambda: talk(Caller(server.address))
+        return lambda: client(Caller(server.address))
 
-    return run_green(main)
+    return run_green(run_server)
 
 
-def test_requests_share_a_connection_until_the_caller_closes():
-    def talk(caller):
+def test_requests_share_a_connection():
+    def client(caller):
         caller.send(GET)
         first = caller.read_until(b"GET ")
         caller.send(b"POST /y HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\n\r\nabc")
         return first, caller.read_until(b"POST abc")
 
-    first, second = serve(echo, talk)
+    first, second = serve(echo, client)
     assert first.startswith(b"HTTP/1.1 200") and second.endswith(b"POST abc")
 
 
-def test_bodies_in_chunks_are_read_whole():
-    def talk(caller):
+def test_chunked_body_is_read_whole():
+    def client(caller):
         caller.send(b"POST /y HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n")
         caller.send(b"2\r\nab\r\n1\r\nc\r\n0\r\n\r\n")
         return caller.read_until(b"POST abc")
 
-    assert b"POST abc" in serve(echo, talk)
+    assert b"POST abc" in serve(echo, client)
 
 
 @pytest.mark.parametrize(
@@ -95,73 +95,73 @@
         (b"POST /x HTTP/1.1\r\nHost: h\r\nContent-Length: 10\r\n\r\nabc", b"408"),
     ],
 )
-def test_what_goes_past_a_limit_is_refused_and_the_connection_closed(request_bytes, status):
-    def talk(caller):
+def test_requests_over_a_limit_are_refused_and_the_connection_is_closed(request_bytes, status):
+    def client(caller):
         caller.send(request_bytes)
         return caller.read_all()
 
-    assert serve(echo, talk).startswith(b"HTTP/1.1 " + status)
+    assert serve(echo, client).startswith(b"HTTP/1.1 " + status)
 
 
-def test_an_idle_connection_is_closed():
+def test_idle_connection_is_closed():
     assert serve(echo, lambda caller: caller.read_all()) == b""
 
 
-def test_a_callers_leaving_is_raised_in_the_handler():
-    left, started = threading.Event(), threading.Event()
+def test_disconnect_raises_caller_gone_in_the_handler():
+    is_caller_gone, is_handling = threading.Event(), threading.Event()
 
-    def wait_for_ever(exchange):
+    def wait(exchange):
         import eventlet
 
-        started.set()
+        is_handling.set()
         try:
             eventlet.sleep(30)
         except CallerGone:
-            left.set()
+            is_caller_gone.set()
             raise
 
-    def talk(caller):
+    def client(caller):
         caller.send(GET)
-        started.wait(10)
+        is_handling.wait(10)
         caller.sock.close()
-        return left.wait(10)
+        return is_caller_gone.wait(10)
 
-    assert serve(wait_for_ever, talk)
+    assert serve(wait, client)
 
 
-def test_an_answer_in_pieces_ends_with_its_last_chunk():
-    def pieces(exchange):
+def test_chunked_response_ends_with_its_last_chunk():
+    def chunked(exchange):
         exchange.start_response(200, [])
         exchange.write(b"one")
         exchange.write(b"two")
         exchange.finish()
 
-    def talk(caller):
+    def client(caller):
         caller.send(GET)
         return caller.read_until(b"0\r\n\r\n")
 
-    assert serve(pieces, talk).endswith(b"3\r\none\r\n3\r\ntwo\r\n0\r\n\r\n")
+    assert serve(chunked, client).endswith(b"3\r\none\r\n3\r\ntwo\r\n0\r\n\r\n")
 
 
-def test_an_answer_that_is_left_without_an_end_has_no_last_chunk():
-    def half(exchange):
+def test_unfinished_response_has_no_last_chunk():
+    def unfinished(exchange):
         exchange.start_response(200, [])
         exchange.write(b"one")
 
-    def talk(caller):
+    def client(caller):
         caller.send(GET)
         return caller.read_all()
 
-    data = serve(half, talk)
+    data = serve(unfinished, client)
     assert data.endswith(b"3\r\none\r\n")
 
 
-def test_an_old_caller_sees_a_broken_off_answer_as_a_reset():
-    def half(exchange):
+def test_http_1_0_caller_sees_an_unfinished_response_as_a_reset():
+    def unfinished(exchange):
         exchange.start_response(200, [])
         exchange.write(b"one")
 
-    def talk(caller):
+    def client(caller):
         caller.send(b"GET /x HTTP/1.0\r\nHost: h\r\n\r\n")
         try:
             caller.read_all()
@@ -169,40 +169,40 @@
             return "reset"
         return "whole"
 
-    assert serve(half, talk) == "reset"
+    assert serve(unfinished, client) == "reset"
 
 
-def test_a_request_that_follows_at_once_is_answered_too():
-    def talk(caller):
+def test_pipelined_request_is_answered():
+    def client(caller):
         caller.send(GET + GET)
         return caller.read_until(b"GET ") + caller.read_until(b"GET ")
 
-    assert serve(echo, talk).count(b"HTTP/1.1 200") == 2
+    assert serve(echo, client).count(b"HTTP/1.1 200") == 2
 
 
-def test_a_closing_server_says_so_with_its_answer():
-    def talk(caller):
+def test_closing_server_sends_connection_close():
+    def client(caller):
         caller.send(GET)
         return caller.read_all()
 
-    assert b"connection: close" in serve(echo, talk, closing=True).lower()
+    assert b"connection: close" in serve(echo, client, closing=True).lower()
 
 
-def test_a_request_whose_caller_left_before_it_was_read_is_not_handled():
+def test_request_of_a_disconnected_caller_is_not_handled():
     """A caller gives up a request that waits unread; work on it would be in vain."""
     handled = []
 
-    def main():
+    def run_server():
         server = HttpServer(("127.0.0.1", 0), handled.append, limits=lambda: LIMITS)
-        here, there = green_socket.socketpair()
+        server_end, client_end = green_socket.socketpair()
 
-        def talk():
-            there.fd.sendall(GET)
-            there.fd.close()
-            eventlet.spawn(CallerConnection(server, here).serve).wait()
+        def client():
+            client_end.fd.sendall(GET)
+            client_end.fd.close()
+            eventlet.spawn(CallerConnection(server, server_end).serve).wait()
 
-        eventlet.spawn(talk).wait()
+        eventlet.spawn(client).wait()
         return lambda: None
 
-    run_green(main)
+    run_green(run_server)
     assert handled == []
