--- a/whinrack/http1/_server.py
+++ b/whinrack/http1/_server.py
@@ -15,7 +15,7 @@
 _BACKLOG = 1024
 
 
-def _refuse_by_status(refusal: Refusal) -> tuple[int, Headers, bytes]:
+def _status_only_response(refusal: Refusal) -> tuple[int, Headers, bytes]:
     return refusal.status, [], b""
 
 
@@ -41,7 +41,7 @@
         self,
         address: tuple[str, int],
         handle: Callable[[Exchange], None],
-        refusal_response: Callable[[Refusal], tuple[int, Headers, bytes]] = _refuse_by_status,
+        refusal_response: Callable[[Refusal], tuple[int, Headers, bytes]] = _status_only_response,
         limits: Callable[[], ServerLimits] = ServerLimits,
     ):
         super().__init__(handle, refusal_response, limits)
--- a/whinrack/http1/tests/test_client.py
+++ b/whinrack/http1/tests/test_client.py
@@ -244,10 +244,10 @@
     connection.send(REQUEST, b"", deadline)
     connection.read_head(deadline, is_own)
     eventlet.sleep(0.05)
-    pieces = connection.iter_data(deadline)
-    assert next(pieces) == b"a"
+    parts = connection.iter_data(deadline)
+    assert next(parts) == b"a"
     with pytest.raises(AnswerCut):
-        next(pieces)
+        next(parts)
 
 
 def test_connect_timeout_follows_the_average_connect_time(serve, monkeypatch):
--- a/whinrack/http1/tests/test_server.py
+++ b/whinrack/http1/tests/test_server.py
@@ -75,7 +75,7 @@
     assert first.startswith(b"HTTP/1.1 200") and second.endswith(b"POST abc")
 
 
-def test_chunked_body_is_read_whole():
+def test_chunked_body_is_read_completely():
     def client(caller):
         caller.send(b"POST /y HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n")
         caller.send(b"2\r\nab\r\n1\r\nc\r\n0\r\n\r\n")
