--- a/whinrack/http1/_exchange.py
+++ b/whinrack/http1/_exchange.py
@@ -58,9 +58,9 @@
         Method, target and headers.
     body : bytes
         The complete body.
-    arrived : float
+    received_at : float
         Steady clock when the request was completely read.
-    started : bool
+    is_started : bool
         Whether the head of a response has been sent.
     is_finished : bool
         Whether the response has been sent completely.
