--- a/whinrack/engines/_client.py
+++ b/whinrack/engines/_client.py
@@ -21,13 +21,13 @@
 ]
 
 _CONNECT_TIMEOUT = 1.0
-_ORDER_TIMEOUT = 1.0
-_CONNECTIONS = 256
-_BUSY = (429, 503)
-_SECONDS = re.compile(r"[0-9]{1,12}(\.[0-9]{1,12})?")
-_CHUNK = 65_536
-_TIMEOUTS = (urllib3.exceptions.ReadTimeoutError,)
-_NEVER_SENT = (
+_CONTROL_TIMEOUT = 1.0
+_MAX_POOLED_CONNECTIONS = 256
+_BUSY_STATUSES = (429, 503)
+_SECONDS_PATTERN = re.compile(r"[0-9]{1,12}(\.[0-9]{1,12})?")
+_CHUNK_BYTES = 65_536
+_TIMEOUT_ERRORS = (urllib3.exceptions.ReadTimeoutError,)
+_NOT_SENT_ERRORS = (
     urllib3.exceptions.NewConnectionError,
     urllib3.exceptions.ConnectTimeoutError,
 )
@@ -49,7 +49,7 @@
     leaving: bool = False
 
 
-class _CancelReply(msgspec.Struct, frozen=True):
+class _CancelResponse(msgspec.Struct, frozen=True):
     usage: Usage
 
 
@@ -62,7 +62,10 @@
 
     def __init__(self):
         self._pool = urllib3.PoolManager(
-            num_pools=_CONNECTIONS, maxsize=_CONNECTIONS, block=False, retries=False
+            num_pools=_MAX_POOLED_CONNECTIONS,
+            maxsize=_MAX_POOLED_CONNECTIONS,
+            block=False,
+            retries=False,
         )
 
     def send(
@@ -75,93 +78,93 @@
         timeout: float,
     ) -> Result[urllib3.BaseHTTPResponse, Refusal]:
         """Send one request and return the answer with its body still unread."""
-        limit = urllib3.Timeout(connect=_CONNECT_TIMEOUT, read=timeout)
+        timeouts = urllib3.Timeout(connect=_CONNECT_TIMEOUT, read=timeout)
         try:
-            reply = self._pool.request(
+            response = self._pool.request(
                 method,
                 f"http://{address}{path}",
                 headers=urllib3.HTTPHeaderDict(headers),
                 body=body,
-                timeout=limit,
+                timeout=timeouts,
                 redirect=False,
                 preload_content=False,
                 decode_content=False,
             )
-        except _NEVER_SENT:
+        except _NOT_SENT_ERRORS:
             return Failure(TargetUnavailable("no connection to the target", retry_after=1.0))
-        except _TIMEOUTS:
+        except _TIMEOUT_ERRORS:
             return Failure(TargetFailed("the target didn't answer in time"))
         except urllib3.exceptions.HTTPError as error:
             return Failure(TargetFailed(f"the connection broke: {type(error).__name__}"))
-        return Success(reply)
+        return Success(response)
 
     def cancel(self, address: str, request_id: str) -> Usage | None:
         """Cancel a stream; returns what it used, None if the engine can't say."""
         try:
-            reply = self._pool.request(
+            response = self._pool.request(
                 "POST",
                 f"http://{address}/v1/streams/{request_id}/cancel",
-                timeout=_ORDER_TIMEOUT,
+                timeout=_CONTROL_TIMEOUT,
             )
-            if reply.status != 200:
+            if response.status != 200:
                 return None
-            return msgspec.json.decode(reply.data, type=_CancelReply).usage
+            return msgspec.json.decode(response.data, type=_CancelResponse).usage
         except (urllib3.exceptions.HTTPError, msgspec.MsgspecError):
             return None
 
     def resume(
-        self, address: str, request_id: str, skip: int, timeout: float
+        self, address: str, request_id: str, skip_events: int, timeout: float
     ) -> urllib3.BaseHTTPResponse | None:
         """Take up a stream again after some events; None if the engine hasn't it."""
-        limit = urllib3.Timeout(connect=_CONNECT_TIMEOUT, read=timeout)
+        timeouts = urllib3.Timeout(connect=_CONNECT_TIMEOUT, read=timeout)
         try:
-            reply = self._pool.request(
+            response = self._pool.request(
                 "GET",
-                f"http://{address}/v1/streams/{request_id}?skip={skip}",
-                timeout=limit,
+                f"http://{address}/v1/streams/{request_id}?skip={skip_events}",
+                timeout=timeouts,
                 preload_content=False,
             )
         except urllib3.exceptions.HTTPError:
             return None
-        if reply.status != 200:
-            reply.close()
+        if response.status != 200:
+            response.close()
             return None
-        return reply
+        return response
 
     def fetch_load(self, address: str) -> EngineLoad | None:
         """Read a target's load report, None if it has none."""
         try:
-            reply = self._pool.request("GET", f"http://{address}/load", timeout=_ORDER_TIMEOUT)
-            if reply.status != 200:
+            response = self._pool.request("GET", f"http://{address}/load", timeout=_CONTROL_TIMEOUT)
+            if response.status != 200:
                 return None
-            return msgspec.json.decode(reply.data, type=EngineLoad)
+            return msgspec.json.decode(response.data, type=EngineLoad)
         except (urllib3.exceptions.HTTPError, msgspec.MsgspecError):
             return None
 
 
-def is_busy_response(reply: urllib3.BaseHTTPResponse) -> bool:
+def is_busy_response(response: urllib3.BaseHTTPResponse) -> bool:
     """Whether the target's own word is that it is busy and did not start."""
-    return reply.status in _BUSY
+    return response.status in _BUSY_STATUSES
 
 
-def retry_after_seconds(reply: urllib3.BaseHTTPResponse) -> float:
+def retry_after_seconds(response: urllib3.BaseHTTPResponse) -> float:
     """Return the seconds for which a busy target takes nothing from here, 0 for no word."""
-    text = reply.headers.get("Retry-After", "").strip()
-    return float(text) if _SECONDS.fullmatch(text) else 0.0
+    text = response.headers.get("Retry-After", "").strip()
+    return float(text) if _SECONDS_PATTERN.fullmatch(text) else 0.0
 
 
-def read_body(reply: urllib3.BaseHTTPResponse) -> Result[bytes, Refusal]:
+def read_body(response: urllib3.BaseHTTPResponse) -> Result[bytes, Refusal]:
     """Read a whole body, or say that it was cut."""
     try:
-        body = reply.read()
+        body = response.read()
     except urllib3.exceptions.HTTPError as error:
-        reply.close()
+        response.close()
         return Failure(AnswerCut(type(error).__name__, outcome=Outcome.UNKNOWN))
-    reply.release_conn()
+    response.release_conn()
     return Success(body)
 
 
-def body_chunks(reply: urllib3.BaseHTTPResponse) -> Iterator[bytes]:
+def body_chunks(response: urllib3.BaseHTTPResponse) -> Iterator[bytes]:
     """Yield the body as it comes.
 
     Raises
@@ -170,6 +173,6 @@
         If the body ends before it is whole.
     """
     try:
-        yield from reply.stream(_CHUNK)
+        yield from response.stream(_CHUNK_BYTES)
     except urllib3.exceptions.HTTPError as error:
         raise AnswerCut(type(error).__name__) from error
--- a/whinrack/engines/_sse.py
+++ b/whinrack/engines/_sse.py
@@ -13,12 +13,12 @@
 
 __all__ = ["ChatStream", "complete_events"]
 
-_END = b"\n\n"
-_DATA = b"data:"
-_DONE = b"data: [DONE]"
+_EVENT_END = b"\n\n"
+_DATA_FIELD = b"data:"
+_DONE_EVENT = b"data: [DONE]"
 _USAGE_MARK = b'"usage"'
 _CONTENT_MARK = b'"content"'
-_LONGEST_EVENT = 1_000_000
+_MAX_EVENT_BYTES = 1_000_000
 
 
 class _UsageEvent(msgspec.Struct):
@@ -26,7 +26,7 @@
     usage: Usage | None = None
 
 
-_USAGE_EVENT = msgspec.json.Decoder(_UsageEvent)
+_USAGE_DECODER = msgspec.json.Decoder(_UsageEvent)
 
 
 def complete_events(chunks: Iterable[bytes]) -> Iterator[bytes]:
@@ -37,20 +37,20 @@
     AnswerCut
         If the stream ends inside an event, or an event is absurdly long.
     """
-    rest = b""
+    remainder = b""
     for chunk in chunks:
-        if rest:
-            chunk = rest + chunk
-            rest = b""
-        if chunk.endswith(_END):
+        if remainder:
+            chunk = remainder + chunk
+            remainder = b""
+        if chunk.endswith(_EVENT_END):
             yield chunk
             continue
-        head, found, rest = chunk.rpartition(_END)
-        if found:
-            yield head + _END
-        if len(rest) > _LONGEST_EVENT:
+        head, separator, remainder = chunk.rpartition(_EVENT_END)
+        if separator:
+            yield head + _EVENT_END
+        if len(remainder) > _MAX_EVENT_BYTES:
             raise AnswerCut("an event without an end")
-    if rest.strip():
+    if remainder.strip():
         raise AnswerCut("the stream ended inside an event")
 
 
@@ -83,7 +83,7 @@
         self.content_event_count = 0
         self.event_count = 0
         self.is_complete = False
-        self._mark = b'"' + answer_id.encode() + b'"'
+        self._id_mark = b'"' + answer_id.encode() + b'"'
 
     def check(self, data: bytes) -> bytes:
         """Check one or more whole events and return what goes to the caller.
@@ -95,28 +95,28 @@
         """
         if self.is_complete:
             raise ForeignAnswer("events after the end of the answer")
-        events = data.count(_DATA)
-        if _DONE in data:
+        events = data.count(_DATA_FIELD)
+        if _DONE_EVENT in data:
             self.is_complete = True
             events -= 1
-        if events > data.count(self._mark):
+        if events > data.count(self._id_mark):
             raise ForeignAnswer("an event with another id")
         self.event_count += events
         self.content_event_count += data.count(_CONTENT_MARK)
         if _USAGE_MARK in data:
-            return self._without_usage(data)
+            return self._filter_usage(data)
         return data
 
-    def _without_usage(self, data: bytes) -> bytes:
-        kept = [event for event in data.split(_END) if event and self._keep(event)]
-        return b"".join(event + _END for event in kept)
+    def _filter_usage(self, data: bytes) -> bytes:
+        kept = [event for event in data.split(_EVENT_END) if event and self._inspect_usage(event)]
+        return b"".join(event + _EVENT_END for event in kept)
 
-    def _keep(self, event: bytes) -> bool:
-        if _USAGE_MARK not in event or event.startswith(_DONE):
+    def _inspect_usage(self, event: bytes) -> bool:
+        if _USAGE_MARK not in event or event.startswith(_DONE_EVENT):
             return True
-        _, _, text = event.partition(_DATA)
+        _, _, text = event.partition(_DATA_FIELD)
         try:
-            decoded = _USAGE_EVENT.decode(text)
+            decoded = _USAGE_DECODER.decode(text)
         except msgspec.MsgspecError:
             return True
         if decoded.usage is None:
--- a/whinrack/engines/tests/test_sse.py
+++ b/whinrack/engines/tests/test_sse.py
@@ -21,38 +21,38 @@
 
 @given(st.lists(st.integers(1, len(STREAM) - 1), max_size=12))
 @settings(max_examples=300, deadline=None, derandomize=True)
-def test_events_are_the_same_however_the_bytes_are_split(cuts):
+def test_result_does_not_depend_on_how_the_bytes_are_split(cuts):
     edges = [0, *sorted(set(cuts)), len(STREAM)]
     chunks = [STREAM[a:b] for a, b in zip(edges, edges[1:], strict=False)]
     stream = ChatStream("chatcmpl-1", include_usage=False)
-    out = b"".join(stream.check(events) for events in complete_events(chunks))
-    assert out == EVENT + NULL_USAGE + EVENT + DONE
+    checked = b"".join(stream.check(events) for events in complete_events(chunks))
+    assert checked == EVENT + NULL_USAGE + EVENT + DONE
     assert stream.usage.total_tokens == 5
     assert (stream.content_event_count, stream.event_count, stream.is_complete) == (3, 4, True)
 
 
-def test_usage_is_kept_where_the_caller_asked_for_it():
+def test_usage_event_is_kept_if_requested():
     stream = ChatStream("chatcmpl-1", include_usage=True)
     assert stream.check(STREAM) == STREAM
 
 
-def test_a_stream_that_ends_inside_an_event_is_cut():
+def test_stream_that_ends_inside_an_event_raises_answer_cut():
     with pytest.raises(AnswerCut):
         list(complete_events([EVENT, EVENT[:20]]))
 
 
-def test_an_endless_event_is_cut():
+def test_oversized_event_raises_answer_cut():
     with pytest.raises(AnswerCut):
         list(complete_events([b"x" * 600_000] * 3))
 
 
 @pytest.mark.parametrize("data", [EVENT.replace(b"-1", b"-2"), EVENT + EVENT.replace(b"-1", b"-2")])
-def test_an_event_with_another_id_is_foreign(data):
+def test_event_with_another_id_raises_foreign_answer(data):
     with pytest.raises(ForeignAnswer):
         ChatStream("chatcmpl-1", include_usage=True).check(data)
 
 
-def test_events_after_the_end_are_foreign():
+def test_events_after_the_end_raise_foreign_answer():
     stream = ChatStream("chatcmpl-1", include_usage=True)
     stream.check(STREAM)
     with pytest.raises(ForeignAnswer):
