--- a/whinrack/engines/__init__.py
+++ b/whinrack/engines/__init__.py
@@ -1,4 +1,4 @@
-"""Targets: the protocols of model engines and plain services."""
+"""Clients for targets: the protocols of model engines and plain services."""
 
 from whinrack.engines._client import (
     EngineLoad,
--- a/whinrack/engines/_client.py
+++ b/whinrack/engines/_client.py
@@ -1,4 +1,4 @@
-"""Talks to targets: chat engines and plain services, over urllib3."""
+"""Client for targets, which are chat engines or plain services; based on urllib3."""
 
 import re
 from collections.abc import Iterable, Iterator
@@ -34,7 +34,7 @@
 
 
 class Usage(msgspec.Struct, frozen=True):
-    """An engine's count of tokens."""
+    """Token counts of a request, as reported by an engine."""
 
     prompt_tokens: int = 0
     completion_tokens: int = 0
@@ -42,7 +42,7 @@
 
 
 class EngineLoad(msgspec.Struct, frozen=True):
-    """An engine's report of its load."""
+    """Load of an engine, as reported by itself."""
 
     running: int = 0
     waiting: int = 0
@@ -54,10 +54,10 @@
 
 
 class TargetClient:
-    """Sends requests to targets.
+    """HTTP client that sends requests to targets.
 
-    Every failure says whether the request may have run: `not_run` only if no byte of
-    it left, or the target itself said that it did not start.
+    Every failure states whether the request may have run: `not_run` only if no byte of
+    it was sent, or the target itself stated that it did not start the request.
     """
 
     def __init__(self):
@@ -77,7 +77,13 @@
         body: bytes,
         timeout: float,
     ) -> Result[urllib3.BaseHTTPResponse, Refusal]:
-        """Send one request and return the answer with its body still unread."""
+        """Send a request.
+
+        Returns
+        -------
+        Result
+            The response with its body still unread, or the reason of the failure.
+        """
         timeouts = urllib3.Timeout(connect=_CONNECT_TIMEOUT, read=timeout)
         try:
             response = self._pool.request(
@@ -91,15 +97,23 @@
                 decode_content=False,
             )
         except _NOT_SENT_ERRORS:
-            return Failure(TargetUnavailable("no connection to the target", retry_after=1.0))
+            return Failure(TargetUnavailable("connection to the target failed", retry_after=1.0))
         except _TIMEOUT_ERRORS:
-            return Failure(TargetFailed("the target didn't answer in time"))
+            return Failure(TargetFailed("the target did not respond in time"))
         except urllib3.exceptions.HTTPError as error:
-            return Failure(TargetFailed(f"the connection broke: {type(error).__name__}"))
+            return Failure(
+                TargetFailed(f"the connection to the target broke: {type(error).__name__}")
+            )
         return Success(response)
 
     def cancel(self, address: str, request_id: str) -> Usage | None:
-        """Cancel a stream; returns what it used, None if the engine can't say."""
+        """Cancel a stream.
+
+        Returns
+        -------
+        Usage or None
+            Token counts of the stream; None if the engine did not report them.
+        """
         try:
             response = self._pool.request(
                 "POST",
@@ -115,7 +129,14 @@
     def resume(
         self, address: str, request_id: str, skip_events: int, timeout: float
     ) -> urllib3.BaseHTTPResponse | None:
-        """Take up a stream again after some events; None if the engine hasn't it."""
+        """Resume a stream after its first `skip_events` events.
+
+        Returns
+        -------
+        BaseHTTPResponse or None
+            The response with its body still unread; None if the engine does not have the
+            stream or can't be reached.
+        """
         timeouts = urllib3.Timeout(connect=_CONNECT_TIMEOUT, read=timeout)
         try:
             response = self._pool.request(
@@ -132,7 +153,7 @@
         return response
 
     def fetch_load(self, address: str) -> EngineLoad | None:
-        """Read a target's load report, None if it has none."""
+        """Fetch the load report of a target; return None if no valid one is received."""
         try:
             response = self._pool.request("GET", f"http://{address}/load", timeout=_CONTROL_TIMEOUT)
             if response.status != 200:
@@ -143,36 +164,44 @@
 
 
 def is_busy_response(response: urllib3.BaseHTTPResponse) -> bool:
-    """Whether the target's own word is that it is busy and did not start."""
+    """Return whether the target responded that it is busy and did not start the request."""
     return response.status in _BUSY_STATUSES
 
 
 def retry_after_seconds(response: urllib3.BaseHTTPResponse) -> float:
-    """Return the seconds for which a busy target takes nothing from here, 0 for no word."""
+    """Return for how long a busy target takes no requests from this instance.
+
+    Returns
+    -------
+    float
+        The seconds of `Retry-After`; 0 if it is absent or malformed.
+    """
     text = response.headers.get("Retry-After", "").strip()
     return float(text) if _SECONDS_PATTERN.fullmatch(text) else 0.0
 
 
 def read_body(response: urllib3.BaseHTTPResponse) -> Result[bytes, Refusal]:
-    """Read a whole body, or say that it was cut."""
+    """Read the complete body; return an `AnswerCut` failure if it is truncated."""
     try:
         body = response.read()
     except urllib3.exceptions.HTTPError as error:
         response.close()
-        return Failure(AnswerCut(type(error).__name__, outcome=Outcome.UNKNOWN))
+        return Failure(
+            AnswerCut(f"response body cut: {type(error).__name__}", outcome=Outcome.UNKNOWN)
+        )
     response.release_conn()
     return Success(body)
 
 
 def body_chunks(response: urllib3.BaseHTTPResponse) -> Iterator[bytes]:
-    """Yield the body as it comes.
+    """Yield the body in chunks as it is received.
 
     Raises
     ------
     AnswerCut
-        If the body ends before it is whole.
+        If the body ends before it is complete.
     """
     try:
         yield from response.stream(_CHUNK_BYTES)
     except urllib3.exceptions.HTTPError as error:
-        raise AnswerCut(type(error).__name__) from error
+        raise AnswerCut(f"response body cut: {type(error).__name__}") from error
--- a/whinrack/engines/_sse.py
+++ b/whinrack/engines/_sse.py
@@ -1,7 +1,7 @@
-"""Reads an engine's event stream: whole events, checked, hardly decoded.
+"""Reader of an engine's server-sent events that checks complete events without decoding most.
 
-A chunk that holds whole events is passed on as it came. Only the event with the usage
-is decoded; the others are looked at for the answer's id and their number.
+A chunk that consists of complete events is forwarded unchanged. Only events that may hold
+the usage are decoded; in the others only events and occurrences of the answer's id are counted.
 """
 
 from collections.abc import Iterable, Iterator
@@ -35,7 +35,7 @@
     Raises
     ------
     AnswerCut
-        If the stream ends inside an event, or an event is absurdly long.
+        If the stream ends inside an event, or an event exceeds the size limit.
     """
     remainder = b""
     for chunk in chunks:
@@ -49,31 +49,31 @@
         if separator:
             yield head + _EVENT_END
         if len(remainder) > _MAX_EVENT_BYTES:
-            raise AnswerCut("an event without an end")
+            raise AnswerCut(f"an event exceeds {_MAX_EVENT_BYTES} bytes")
     if remainder.strip():
         raise AnswerCut("the stream ended inside an event")
 
 
 class ChatStream:
-    """Checks an engine's events and finds the usage in them.
+    """Checker of an engine's event stream that also extracts the usage.
 
     Parameters
     ----------
     answer_id : str
-        The id that every event must carry.
+        The id that every event must contain.
     include_usage : bool
-        Whether the caller asked for the usage event.
+        Whether the caller requested the usage event; otherwise it is removed.
 
     Attributes
     ----------
     usage : Usage or None
-        The engine's final count.
-    content_events : int
-        Events with content so far; never more than tokens generated.
-    events : int
-        All events so far; where a resumed stream goes on.
-    done : bool
-        The end mark was seen: the answer is whole.
+        The engine's final token counts, None until received.
+    content_event_count : int
+        Number of events with content so far; never more than the tokens generated.
+    event_count : int
+        Number of all events so far; a resumed stream continues after it.
+    is_complete : bool
+        Whether the `[DONE]` event was received, so that the answer is complete.
     """
 
     def __init__(self, answer_id: str, include_usage: bool):
@@ -86,21 +86,21 @@
         self._id_mark = b'"' + answer_id.encode() + b'"'
 
     def check(self, data: bytes) -> bytes:
-        """Check one or more whole events and return what goes to the caller.
+        """Check one or more complete events and return the bytes to forward to the caller.
 
         Raises
         ------
         ForeignAnswer
-            If an event has another id, or comes after the end.
+            If an event has another id, or follows the end of the stream.
         """
         if self.is_complete:
-            raise ForeignAnswer("events after the end of the answer")
+            raise ForeignAnswer("the target sent events after the end of the answer")
         events = data.count(_DATA_FIELD)
         if _DONE_EVENT in data:
             self.is_complete = True
             events -= 1
         if events > data.count(self._id_mark):
-            raise ForeignAnswer("an event with another id")
+            raise ForeignAnswer("the target sent an event with another id")
         self.event_count += events
         self.content_event_count += data.count(_CONTENT_MARK)
         if _USAGE_MARK in data:
@@ -108,10 +108,12 @@
         return data
 
     def _filter_usage(self, data: bytes) -> bytes:
+        """Remove a usage event that the caller did not request."""
         kept = [event for event in data.split(_EVENT_END) if event and self._inspect_usage(event)]
         return b"".join(event + _EVENT_END for event in kept)
 
     def _inspect_usage(self, event: bytes) -> bool:
+        """Store the usage of an event; return whether the event is forwarded."""
         if _USAGE_MARK not in event or event.startswith(_DONE_EVENT):
             return True
         _, _, text = event.partition(_DATA_FIELD)
--- a/whinrack/engines/tests/test_sse.py
+++ b/whinrack/engines/tests/test_sse.py
@@ -1,4 +1,4 @@
-"""Event streams: split anywhere, foreign, cut, with and without usage."""
+"""Tests of event streams: arbitrary chunks, unrelated or truncated streams, and usage."""
 
 import hypothesis.strategies as st
 import pytest
