--- a/whinrack/objects/_checks.py
+++ b/whinrack/objects/_checks.py
@@ -20,8 +20,8 @@
 
 __all__ = ["check_name", "check_references", "check_spec", "decode_spec"]
 
-_NAME = re.compile(r"[a-z0-9]([a-z0-9.-]{0,61}[a-z0-9])?")
-_ADDRESS = re.compile(r"\d{1,3}(\.\d{1,3}){3}:\d{1,5}")
+_NAME_PATTERN = re.compile(r"[a-z0-9]([a-z0-9.-]{0,61}[a-z0-9])?")
+_ADDRESS_PATTERN = re.compile(r"\d{1,3}(\.\d{1,3}){3}:\d{1,5}")
 _MAX_TOKENS = 10**15
 _MAX_COUNT = 100_000
 _MAX_SECONDS = 86_400.0
@@ -48,7 +48,7 @@
 
 def check_name(name: str) -> None:
     """Refuse names other than short lower-case ones."""
-    if not isinstance(name, str) or not _NAME.fullmatch(name):
+    if not isinstance(name, str) or not _NAME_PATTERN.fullmatch(name):
         raise InvalidObject(
             f"name: allowed are 1 to 63 of a-z, 0-9, '.' and '-', starting and ending "
             f"with a letter or digit, got {name!r}"
@@ -57,42 +57,42 @@
 
 def check_spec(kind: str, name: str, spec: Spec) -> None:
     """Refuse field values out of range."""
-    for field, allowed, got, good in _rules(spec):
-        if not good:
-            raise InvalidObject(f"{kind}/{name}: {field}: allowed is {allowed}, got {got!r}")
+    for field, expected, actual, is_valid in _iter_checks(spec):
+        if not is_valid:
+            raise InvalidObject(f"{kind}/{name}: {field}: allowed is {expected}, got {actual!r}")
 
 
-def _rules(spec: Spec) -> Iterator[tuple[str, str, object, bool]]:
+def _iter_checks(spec: Spec) -> Iterator[tuple[str, str, object, bool]]:
     match spec:
         case Budget():
             ids = [topup.id for topup in spec.topups]
             yield "topups", "one entry for each id", ids, len(set(ids)) == len(ids)
             for topup in spec.topups:
-                good = 0 < topup.tokens <= _MAX_TOKENS
-                yield "topups.tokens", f"1 to {_MAX_TOKENS}", topup.tokens, good
+                is_valid = 0 < topup.tokens <= _MAX_TOKENS
+                yield "topups.tokens", f"1 to {_MAX_TOKENS}", topup.tokens, is_valid
                 yield "topups.id", "1 to 63 characters", topup.id, 0 < len(topup.id) < 64
         case TargetPool():
-            yield from _pool_rules(spec)
+            yield from _iter_pool_checks(spec)
         case Target():
-            good = bool(_ADDRESS.fullmatch(spec.address))
-            yield "address", "an IPv4 address and port, as 127.0.0.1:8000", spec.address, good
+            is_valid = bool(_ADDRESS_PATTERN.fullmatch(spec.address))
+            yield "address", "an IPv4 address and port, as 127.0.0.1:8000", spec.address, is_valid
             count = spec.max_concurrency
             yield "max_concurrency", f"1 to {_MAX_COUNT}", count, 0 < count <= _MAX_COUNT
         case _:
             return
 
 
-def _pool_rules(spec: TargetPool) -> Iterator[tuple[str, str, object, bool]]:
-    chat = spec.protocol is Protocol.CHAT
-    yield "models", "one or more for a chat pool", spec.models, bool(spec.models) or not chat
+def _iter_pool_checks(spec: TargetPool) -> Iterator[tuple[str, str, object, bool]]:
+    is_chat = spec.protocol is Protocol.CHAT
+    yield "models", "one or more for a chat pool", spec.models, bool(spec.models) or not is_chat
     for field in ("max_output_tokens", "queue_limit"):
         count = getattr(spec, field)
         yield field, f"1 to {_MAX_COUNT}", count, 0 < count <= _MAX_COUNT
     overhead = spec.prompt_overhead_tokens
     yield "prompt_overhead_tokens", f"0 to {_MAX_COUNT}", overhead, 0 <= overhead <= _MAX_COUNT
     seconds = spec.request_timeout
-    good = math.isfinite(seconds) and 0 < seconds <= _MAX_SECONDS
-    yield "request_timeout", f"above 0 to {_MAX_SECONDS:g} s", seconds, good
+    is_valid = math.isfinite(seconds) and 0 < seconds <= _MAX_SECONDS
+    yield "request_timeout", f"above 0 to {_MAX_SECONDS:g} s", seconds, is_valid
 
 
 def check_references(objects: Mapping[tuple[str, str], Spec]) -> None:
@@ -104,14 +104,15 @@
         All objects as they would be in force.
     """
     for (kind, name), spec in objects.items():
-        for field, wanted, target in _references(spec):
-            if target and (wanted, target) not in objects:
+        for field, referenced_kind, referenced_name in _iter_references(spec):
+            if referenced_name and (referenced_kind, referenced_name) not in objects:
                 raise InvalidObject(
-                    f"{kind}/{name}: {field}: allowed is the name of a {wanted}, got {target!r}"
+                    f"{kind}/{name}: {field}: allowed is the name of a {referenced_kind}, "
+                    f"got {referenced_name!r}"
                 )
 
 
-def _references(spec: Spec) -> Iterator[tuple[str, str, str]]:
+def _iter_references(spec: Spec) -> Iterator[tuple[str, str, str]]:
     match spec:
         case Workspace():
             yield "policy", "RoutingPolicy", spec.policy
--- a/whinrack/objects/_declarations.py
+++ b/whinrack/objects/_declarations.py
@@ -32,24 +32,26 @@
     InvalidObject
         For a file that isn't a valid declaration, or an object declared twice.
     """
-    found: dict[tuple[str, str], Declaration] = {}
+    declarations: dict[tuple[str, str], Declaration] = {}
     for path in sorted(folder.rglob("*.toml")):
-        declaration = _load(path)
+        declaration = _load_declaration(path)
         key = (declaration.kind, declaration.name)
-        if key in found:
+        if key in declarations:
             raise InvalidObject(f"{path.name}: {key[0]}/{key[1]} is declared twice")
-        found[key] = declaration
-    return list(found.values())
+        declarations[key] = declaration
+    return list(declarations.values())
 
 
-def _load(path: Path) -> Declaration:
+def _load_declaration(path: Path) -> Declaration:
     try:
         data = tomllib.loads(path.read_text())
     except (tomllib.TOMLDecodeError, UnicodeDecodeError) as error:
         raise InvalidObject(f"{path.name}: not TOML: {error}") from error
-    unknown = set(data) - {"kind", "name", "spec"}
-    if unknown:
-        raise InvalidObject(f"{path.name}: allowed are kind, name and spec, got {sorted(unknown)}")
+    unknown_fields = set(data) - {"kind", "name", "spec"}
+    if unknown_fields:
+        raise InvalidObject(
+            f"{path.name}: allowed are kind, name and spec, got {sorted(unknown_fields)}"
+        )
     spec = dict(data.get("spec", {}))
     if "program_file" in spec:
         spec["program"] = (path.parent / spec.pop("program_file")).read_text()
--- a/whinrack/objects/tests/test_objects.py
+++ b/whinrack/objects/tests/test_objects.py
@@ -15,7 +15,7 @@
 
 
 @pytest.mark.parametrize(
-    ("kind", "value", "part"),
+    ("kind", "value", "field"),
     [
         ("Workspace", {"weighting": "cheap"}, "weighting"),
         ("Workspace", {"polcy": "x"}, "polcy"),
@@ -30,26 +30,26 @@
         ("Unknown", {}, "kind"),
     ],
 )
-def test_a_wrong_object_is_refused_with_its_field(kind, value, part):
+def test_invalid_object_is_refused_with_its_field(kind, value, field):
     with pytest.raises(InvalidObject) as raised:
         decode_spec(kind, "n", value)
-    assert part in raised.value.message
+    assert field in raised.value.message
 
 
 @pytest.mark.parametrize("name", ["", "A", "a b", "-a", "a" * 64, "../a"])
-def test_names_are_short_and_plain(name):
+def test_invalid_name_is_refused(name):
     with pytest.raises(InvalidObject):
         decode_spec("Workspace", name, {})
 
 
-def test_a_reference_to_nothing_is_refused():
+def test_missing_reference_is_refused():
     objects = {("Workspace", "w"): Workspace(policy="p")}
     with pytest.raises(InvalidObject):
         check_references(objects)
     check_references({**objects, ("RoutingPolicy", "p"): RoutingPolicy(program="{}")})
 
 
-def test_declarations_are_read_with_their_programs(tmp_path):
+def test_declarations_are_loaded_with_their_programs(tmp_path):
     (tmp_path / "p.cel").write_text("{}")
     text = 'kind = "RoutingPolicy"\nname = "p"\n[spec]\nprogram_file = "p.cel"\n'
     (tmp_path / "p.toml").write_text(text)
@@ -61,14 +61,14 @@
 
 
 @pytest.mark.parametrize("text", ["not toml", 'kind = "Workspace"\nname = "w"\nextra = 1\n'])
-def test_a_broken_declaration_is_refused_with_its_file(tmp_path, text):
+def test_invalid_declaration_is_refused_with_its_file(tmp_path, text):
     (tmp_path / "w.toml").write_text(text)
     with pytest.raises(InvalidObject) as raised:
         load_declarations(tmp_path)
     assert "w.toml" in raised.value.message
 
 
-def test_only_the_right_secret_opens():
+def test_only_the_correct_secret_is_accepted():
     bearer, key = make_key("bench", "w", "b")
     assert verify_key(bearer, key)
     assert not verify_key(bearer[:-1] + "0" if bearer[-1] != "0" else bearer[:-1] + "1", key)
