--- a/whinrack/objects/__init__.py
+++ b/whinrack/objects/__init__.py
@@ -1,4 +1,4 @@
-"""The system's kinds of object, their validation and their declarations."""
+"""Declared object kinds, their validation, their declarations and bearer keys."""
 
 from whinrack.objects._checks import check_name, check_references, check_spec, decode_spec
 from whinrack.objects._declarations import Declaration, load_declarations
--- a/whinrack/objects/_checks.py
+++ b/whinrack/objects/_checks.py
@@ -1,4 +1,4 @@
-"""The one place where declared objects are validated."""
+"""Validation of declared objects; all of it happens here."""
 
 import math
 import re
@@ -28,12 +28,12 @@
 
 
 def decode_spec(kind: str, name: str, value) -> Spec:
-    """Build and check a spec from plain data.
+    """Build a spec from decoded data and validate it.
 
     Raises
     ------
     InvalidObject
-        Naming the field, what is allowed and what was got.
+        With the field, the allowed values and the actual one in its message.
     """
     if kind not in DECLARED_KINDS:
         raise InvalidObject(f"kind: allowed are {', '.join(DECLARED_KINDS)}, got {kind!r}")
@@ -47,7 +47,13 @@
 
 
 def check_name(name: str) -> None:
-    """Refuse names other than short lower-case ones."""
+    """Check that an object name matches the allowed pattern.
+
+    Raises
+    ------
+    InvalidObject
+        If the name is too long, or has other characters than allowed.
+    """
     if not isinstance(name, str) or not _NAME_PATTERN.fullmatch(name):
         raise InvalidObject(
             f"name: allowed are 1 to 63 of a-z, 0-9, '.' and '-', starting and ending "
@@ -56,13 +62,20 @@
 
 
 def check_spec(kind: str, name: str, spec: Spec) -> None:
-    """Refuse field values out of range."""
+    """Check that all field values of a spec are in range.
+
+    Raises
+    ------
+    InvalidObject
+        For the first field that is not.
+    """
     for field, expected, actual, is_valid in _iter_checks(spec):
         if not is_valid:
             raise InvalidObject(f"{kind}/{name}: {field}: allowed is {expected}, got {actual!r}")
 
 
 def _iter_checks(spec: Spec) -> Iterator[tuple[str, str, object, bool]]:
+    """Yield each checked field, its allowed values, the actual one and whether it is valid."""
     match spec:
         case Budget():
             ids = [topup.id for topup in spec.topups]
@@ -96,12 +109,17 @@
 
 
 def check_references(objects: Mapping[tuple[str, str], Spec]) -> None:
-    """Refuse an object that names another one that isn't there.
+    """Check that every reference to another object can be resolved.
 
     Parameters
     ----------
     objects : mapping of (kind, name) to Spec
-        All objects as they would be in force.
+        All objects as they would be after the change.
+
+    Raises
+    ------
+    InvalidObject
+        For the first reference to an object that is not among them.
     """
     for (kind, name), spec in objects.items():
         for field, referenced_kind, referenced_name in _iter_references(spec):
@@ -113,6 +131,7 @@
 
 
 def _iter_references(spec: Spec) -> Iterator[tuple[str, str, str]]:
+    """Yield each reference's field, the kind it refers to and the name it holds."""
     match spec:
         case Workspace():
             yield "policy", "RoutingPolicy", spec.policy
--- a/whinrack/objects/_declarations.py
+++ b/whinrack/objects/_declarations.py
@@ -1,7 +1,7 @@
-"""Declarations: TOML files under version control, one object a file.
+"""Declarations: TOML files under version control, with one object per file.
 
-A file holds `kind`, `name` and a table `spec`. A RoutingPolicy names its program's
-file by `program_file`, relative to the declaration.
+A file contains `kind`, `name` and a table `spec`. A RoutingPolicy can refer to the file of
+its program by `program_file`, relative to the declaration.
 """
 
 import tomllib
@@ -17,7 +17,7 @@
 
 
 class Declaration(msgspec.Struct, frozen=True):
-    """One declared object."""
+    """An object read from a declaration file."""
 
     kind: str
     name: str
@@ -25,19 +25,19 @@
 
 
 def load_declarations(folder: Path) -> list[Declaration]:
-    """Read every `*.toml` below a folder.
+    """Load all declarations (`*.toml`) in a folder and its subfolders.
 
     Raises
     ------
     InvalidObject
-        For a file that isn't a valid declaration, or an object declared twice.
+        If a file is not a valid declaration, or an object is declared more than once.
     """
     declarations: dict[tuple[str, str], Declaration] = {}
     for path in sorted(folder.rglob("*.toml")):
         declaration = _load_declaration(path)
         key = (declaration.kind, declaration.name)
         if key in declarations:
-            raise InvalidObject(f"{path.name}: {key[0]}/{key[1]} is declared twice")
+            raise InvalidObject(f"{path.name}: {key[0]}/{key[1]} is declared more than once")
         declarations[key] = declaration
     return list(declarations.values())
 
@@ -46,7 +46,7 @@
     try:
         data = tomllib.loads(path.read_text())
     except (tomllib.TOMLDecodeError, UnicodeDecodeError) as error:
-        raise InvalidObject(f"{path.name}: not TOML: {error}") from error
+        raise InvalidObject(f"{path.name}: invalid TOML: {error}") from error
     unknown_fields = set(data) - {"kind", "name", "spec"}
     if unknown_fields:
         raise InvalidObject(
--- a/whinrack/objects/_keys.py
+++ b/whinrack/objects/_keys.py
@@ -1,4 +1,4 @@
-"""Bearer keys: `wr_<name>_<secret>`; only a salted hash is stored."""
+"""Bearer keys of the form `wr_<name>_<secret>`; only a salted hash of the secret is stored."""
 
 import hashlib
 import hmac
@@ -15,19 +15,19 @@
 
 
 def hash_secret(salt: str, secret: str) -> str:
-    """Return the hash of a secret.
+    """Return the salted hash of a secret as hexadecimal digits.
 
     Notes
     -----
-    Secrets are random and long, so a fast keyed hash is enough: there is no
-    dictionary to try.
+    Secrets are long and random, so a fast keyed hash is sufficient: dictionary attacks
+    do not apply.
     """
     digest = hashlib.blake2b(secret.encode(), key=salt.encode(), digest_size=32)
     return digest.hexdigest()
 
 
 def make_key(name: str, workspace: str, budget: str) -> tuple[str, ApiKey]:
-    """Make a new bearer key and the object that lets it in."""
+    """Create a bearer key and the ApiKey object that authorizes it."""
     secret = secrets.token_hex(_SECRET_BYTES)
     salt = secrets.token_hex(_SALT_BYTES)
     key = ApiKey(workspace=workspace, budget=budget, salt=salt, digest=hash_secret(salt, secret))
@@ -35,13 +35,13 @@
 
 
 def parse_key_name(bearer: str) -> str | None:
-    """Return the name of the ApiKey object a bearer key claims, None if malformed."""
+    """Return the name of the ApiKey object that a bearer key refers to, None if malformed."""
     match = KEY_PATTERN.fullmatch(bearer)
     return match.group(1) if match else None
 
 
 def verify_key(bearer: str, key: ApiKey) -> bool:
-    """Tell whether the bearer key's secret is the stored one."""
+    """Return whether the secret of a bearer key matches the stored hash."""
     match = KEY_PATTERN.fullmatch(bearer)
     if match is None:
         return False
--- a/whinrack/objects/_kinds.py
+++ b/whinrack/objects/_kinds.py
@@ -1,7 +1,7 @@
-"""The system's own kinds of object, as typed structs.
+"""Declared object kinds as typed structs.
 
-Amounts are whole tokens, durations seconds. Every struct refuses unknown fields,
-so that a misspelt one is found at apply and not at run time.
+Amounts are in tokens, durations in seconds. Every struct rejects unknown fields, so that
+a misspelt field is found when a declaration is applied and not at run time.
 """
 
 from enum import StrEnum
@@ -26,7 +26,7 @@
 
 
 class RequestClass(StrEnum):
-    """How long a request can wait; the order is the order of service."""
+    """Urgency of a request; classes are listed in the order in which they are served."""
 
     ALERT = "alert"
     INTERACTIVE = "interactive"
@@ -34,32 +34,32 @@
 
 
 class Weighting(StrEnum):
-    """Which measure a workspace weighs more at the end of a budget."""
+    """Which of two errors a workspace prefers to avoid when a budget is nearly used up."""
 
     FALSE_REFUSALS = "false_refusals"
     OVERSPEND = "overspend"
 
 
 class Protocol(StrEnum):
-    """What a pool's targets speak."""
+    """Protocol of a pool's targets."""
 
     CHAT = "chat"
     SERVICE = "service"
 
 
 class TargetState(StrEnum):
-    """Whether a target takes new work."""
+    """Whether a target accepts new requests."""
 
     ACTIVE = "active"
     LEAVING = "leaving"
 
 
 class Spec(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
-    """Base of the declared kinds' fields."""
+    """Base class of the specs of all declared kinds."""
 
 
 class Workspace(Spec):
-    """A customer: who pays, under which routing policy."""
+    """A customer that pays for requests, with its routing policy."""
 
     policy: str = ""
     weighting: Weighting = Weighting.OVERSPEND
@@ -67,14 +67,14 @@
 
 
 class TopUp(Spec):
-    """One payment into a budget, counted once by its id."""
+    """A payment into a budget; its id ensures that it is counted once."""
 
     id: str
     tokens: int
 
 
 class Budget(Spec):
-    """A prepaid amount of tokens of a workspace.
+    """A prepaid budget of a workspace, in tokens.
 
     `account` is assigned when the budget is first applied and never changes.
     """
@@ -85,7 +85,7 @@
 
 
 class TargetPool(Spec):
-    """Targets that serve the same thing, with the limits they share."""
+    """A group of interchangeable targets and the limits that apply to them."""
 
     protocol: Protocol = Protocol.CHAT
     models: tuple[str, ...] = ()
@@ -97,7 +97,7 @@
 
 
 class Target(Spec):
-    """One model runner or plain service process."""
+    """A single model runner or plain service process."""
 
     pool: str
     address: str
@@ -115,7 +115,7 @@
 
 
 class ApiKey(Spec):
-    """A bearer key's salted hash, with what it may draw on."""
+    """Salted hash of a bearer key, with the workspace and budget that it may use."""
 
     workspace: str
     budget: str
--- a/whinrack/objects/tests/test_objects.py
+++ b/whinrack/objects/tests/test_objects.py
@@ -1,4 +1,4 @@
-"""Objects: checks that name the field, references, declarations, keys."""
+"""Tests of object validation, references, declarations and bearer keys."""
 
 import pytest
 
