--- a/whinrack/http1/_client.py
+++ b/whinrack/http1/_client.py
@@ -16,7 +16,7 @@
 __all__ = ["ConnectionPool", "TargetConnection"]
 
 _READ_BYTES = 65_536
-_HEAD_BYTES = 65_536
+_MAX_HEAD_BYTES = 65_536
 # The connect timeout is this multiple of the average connect time, within the bounds in
 # seconds. Targets are a few milliseconds away, and a lost SYN is retransmitted after a second;
 # but an instance whose own link or processor is saturated must not attribute that to its
@@ -44,7 +44,7 @@
         self.released_at = 0.0
         # The target closed its sending side in the regular way: no more data comes, none is lost.
         self.is_closed_by_target = False
-        self._protocol = h11.Connection(h11.CLIENT, max_incomplete_event_size=_HEAD_BYTES)
+        self._protocol = h11.Connection(h11.CLIENT, max_incomplete_event_size=_MAX_HEAD_BYTES)
         self._request: RequestHead | None = None
         self._closed = False
         self._aborted = False
@@ -229,7 +229,7 @@
         rest, closed = self._protocol.trailing_data
         if closed or self._protocol.their_state is not h11.DONE:
             raise AnswerCut("the target answered another request and closed the connection")
-        self._protocol = h11.Connection(h11.CLIENT, max_incomplete_event_size=_HEAD_BYTES)
+        self._protocol = h11.Connection(h11.CLIENT, max_incomplete_event_size=_MAX_HEAD_BYTES)
         request = self._request
         self._protocol.send(
             h11.Request(method=request.method, target=request.target, headers=request.headers)
--- a/whinrack/http1/_connection.py
+++ b/whinrack/http1/_connection.py
@@ -26,7 +26,7 @@
 _READ_BYTES = 65_536
 _MAX_PIPELINED_BYTES = 262_144
 _DRAIN_SECONDS = 0.5
-_TOO_LARGE_HEAD = 431
+_HEAD_TOO_LARGE_STATUS = 431
 # SO_LINGER with a timeout of 0: closing the socket resets the connection.
 _RESET_ON_CLOSE = struct.pack("ii", 1, 0)
 
@@ -314,6 +314,6 @@
 
 
 def _malformed_refusal(error: h11.RemoteProtocolError) -> Refusal:
-    if error.error_status_hint == _TOO_LARGE_HEAD:
+    if error.error_status_hint == _HEAD_TOO_LARGE_STATUS:
         return HeadersTooLarge("the request head is too large")
     return BadRequest("the request is malformed")
