--- a/whinrack/http1/_client.py
+++ b/whinrack/http1/_client.py
@@ -42,7 +42,7 @@
         self.received_bytes = 0
         self.idle_seconds = _DEFAULT_IDLE_SECONDS
         self.released_at = 0.0
-        # The target closed its sending side in the regular way: no more data comes, none is lost.
+        # The target closed its sending side without a reset: no more data comes, and none is lost.
         self.is_closed_by_target = False
         self._protocol = h11.Connection(h11.CLIENT, max_incomplete_event_size=_MAX_HEAD_BYTES)
         self._request: RequestHead | None = None
@@ -223,7 +223,7 @@
             raise AnswerCut("the target sent malformed HTTP") from error
 
     def _skip_unrelated_response(self, deadline: float) -> None:
-        """Discard a late response to another request, then expect the own one."""
+        """Discard a late response to another request and prepare to read the next response."""
         for _ in self.iter_data(deadline):
             pass
         rest, closed = self._protocol.trailing_data
