--- a/benchmarks/bench_warm_up.py
+++ b/benchmarks/bench_warm_up.py
@@ -14,7 +14,7 @@
 import simpy
 
 from benchmarks.report import report, section
-from whinrack.base import rendezvous
+from whinrack.base import rendezvous_order
 from whinrack.dispatch import SharedRatePermits, WarmUpLimits
 
 RATE = 9.9
@@ -68,7 +68,7 @@
     count = 1
 
     def __init__(self, name, view, target):
-        holds = name in rendezvous(target, view)[: self.count]
+        holds = name in rendezvous_order(target, view)[: self.count]
         self.bucket = Bucket(RATE / self.count) if holds else None
 
     def may_send(self, now):
@@ -89,7 +89,7 @@
     """
 
     def __init__(self, name, view, target):
-        grantor = rendezvous(target, view)[0]
+        grantor = rendezvous_order(target, view)[0]
         self.granted = RATE / len(view) if grantor in view else 0.0
         self.second, self.left = -1, 0.0
 
--- a/tests/test_clock.py
+++ b/tests/test_clock.py
@@ -43,8 +43,8 @@
 
 
 def test_a_sleep_is_noticed_once(offset):
-    watch = clock.SleepWatch()
-    assert watch.slept() == 0.0
+    watch = clock.SuspendDetector()
+    assert watch.take_suspended_seconds() == 0.0
     offset[0] = 4.0
-    assert 3.9 < watch.slept() < 4.1
-    assert watch.slept() == 0.0
+    assert 3.9 < watch.take_suspended_seconds() < 4.1
+    assert watch.take_suspended_seconds() == 0.0
--- a/tools/generate_docs.py
+++ b/tools/generate_docs.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from whinrack.settings import Settings, settings_reference
+from whinrack.settings import Settings, render_settings_reference
 
 __all__ = ["generated_pages"]
 
@@ -39,6 +39,6 @@
 def generated_pages() -> dict[pathlib.PurePath, str]:
     """Return each page's text by its path."""
     return {
-        pathlib.PurePath("docs/settings.md"): settings_reference(),
+        pathlib.PurePath("docs/settings.md"): render_settings_reference(),
         pathlib.PurePath("examples/router.ini"): example_settings(),
     }
--- a/whinrack/base.py
+++ b/whinrack/base.py
@@ -7,16 +7,16 @@
 import xxhash
 
 __all__ = [
-    "LONGEST_BACKOFF_SECONDS",
+    "MAX_BACKOFF_SECONDS",
     "Outcome",
     "incarnation_name",
-    "instance_of",
+    "instance_name",
     "new_incarnation",
-    "rendezvous",
+    "rendezvous_order",
 ]
 
 # A target that names a longer time by mistake must not stay out of use for good.
-LONGEST_BACKOFF_SECONDS = 3600.0
+MAX_BACKOFF_SECONDS = 3600.0
 
 _NONCE_BYTES = 5
 
@@ -45,7 +45,7 @@
     return incarnation_name(instance, secrets.token_hex(_NONCE_BYTES))
 
 
-def instance_of(incarnation: str) -> str:
+def instance_name(incarnation: str) -> str:
     """Return the instance that an incarnation is a run of.
 
     Examples
@@ -56,7 +56,7 @@
     return incarnation.rpartition(".")[0]
 
 
-def rendezvous(key: str, nodes: Iterable[str]) -> list[str]:
+def rendezvous_order(key: str, nodes: Iterable[str]) -> list[str]:
     """Order nodes by their rendezvous weight for a key, heaviest first.
 
     Parameters
--- a/whinrack/budgets/_release.py
+++ b/whinrack/budgets/_release.py
@@ -2,7 +2,7 @@
 
 import msgspec
 
-from whinrack.base import instance_of
+from whinrack.base import instance_name
 from whinrack.budgets._account import AccountRow, BudgetAccount, BudgetEntry
 from whinrack.budgets._schedule import RestartTime
 
@@ -89,7 +89,7 @@
             name
             for entry in account.budgets.values()
             for name, row in entry.rows.items()
-            if not row.closed and name != holder and instance_of(name) == instance_of(holder)
+            if not row.closed and name != holder and instance_name(name) == instance_name(holder)
         }
     )
 
--- a/whinrack/cli/__init__.py
+++ b/whinrack/cli/__init__.py
@@ -10,9 +10,9 @@
 def main() -> None:
     """Run the command line; a daemon is prepared before anything else is imported."""
     if sys.argv[1:3] == _DAEMON:
-        from whinrack.green import patch
+        from whinrack.green import monkey_patch
 
-        patch()
+        monkey_patch()
     from whinrack.cli._main import main as command
 
     command(prog_name="whinrack")
--- a/whinrack/cli/_accounts.py
+++ b/whinrack/cli/_accounts.py
@@ -9,7 +9,7 @@
 from whinrack.cli._options import OUTPUT, PLATFORM, open_store
 from whinrack.cli._output import show, unwrap
 from whinrack.objects import make_key
-from whinrack.operators import budget_books, read_bills, release_grant, top_up
+from whinrack.operators import read_bills, read_budget_balance, release_grant, top_up
 
 __all__ = ["bill", "budget", "key"]
 
@@ -25,7 +25,7 @@
 @OUTPUT
 def budget_show(name: str, platform: str, output: str) -> None:
     """Show a budget's books; a holder marked `gone` isn't on the instance list."""
-    books = unwrap(budget_books(open_store(platform), name))
+    books = unwrap(read_budget_balance(open_store(platform), name))
     lines = [
         f"{books.budget}: limit {books.limit} = billed {books.billed} + unproven "
         f"{books.unproven} + outstanding {books.outstanding} + free {books.free}"
--- a/whinrack/cli/_declarations.py
+++ b/whinrack/cli/_declarations.py
@@ -8,7 +8,7 @@
 from whinrack.cli._output import fail, show, unwrap
 from whinrack.exceptions import Conflict, InvalidObject, NotFound
 from whinrack.objects import DECLARED_KINDS, load_declarations
-from whinrack.operators import Change, ChangeKind, apply_change, plan_changes, read_snapshot
+from whinrack.operators import Change, ChangeKind, apply_change, plan_changes, read_declared_objects
 from whinrack.store import ObjectStore
 
 __all__ = ["apply", "delete", "diff", "get"]
@@ -82,7 +82,7 @@
 def _plan(store: ObjectStore, folder: Path) -> tuple[list[Change], int]:
     try:
         declarations = load_declarations(folder)
-        snapshot = unwrap(read_snapshot(store))
+        snapshot = unwrap(read_declared_objects(store))
         return plan_changes(declarations, snapshot), snapshot.revision
     except InvalidObject as error:
         fail(error)
@@ -90,7 +90,7 @@
 
 def _refuse_changed(changes: list[Change], read: int) -> None:
     for change in changes:
-        if change.kind is not ChangeKind.SAME and change.version > read:
+        if change.kind is not ChangeKind.UNCHANGED and change.version > read:
             name = f"{change.declaration.kind}/{change.declaration.name}"
             lines = _diff_lines(change)
             fail(Conflict("\n".join([f"{name} was changed after revision {read}:", *lines])))
--- a/whinrack/cli/_fleet.py
+++ b/whinrack/cli/_fleet.py
@@ -6,7 +6,7 @@
 from whinrack.cli._options import FLEET_KEY, OUTPUT, PLATFORM, open_store
 from whinrack.cli._output import show, unwrap
 from whinrack.objects import Declaration, Target, TargetState
-from whinrack.operators import Change, ChangeKind, FleetRow, apply_change, fleet_status
+from whinrack.operators import Change, ChangeKind, RouterRow, apply_change, read_fleet_status
 
 __all__ = ["instance", "status"]
 
@@ -17,7 +17,7 @@
 @OUTPUT
 def status(platform: str, fleet_key: str, output: str) -> None:
     """Show each router: versions in force, leaving targets, tokens held."""
-    rows = unwrap(fleet_status(open_store(platform), fleet_key))
+    rows = unwrap(read_fleet_status(open_store(platform), fleet_key))
     lines = []
     for row in rows:
         if row.status is None:
@@ -36,7 +36,7 @@
     show(rows, output, "\n".join(lines))
 
 
-def _behind(rows: list[FleetRow]) -> str:
+def _behind(rows: list[RouterRow]) -> str:
     silent = [row.name for row in rows if row.status is None]
     return f" (not heard: {', '.join(silent)})" if silent else ""
 
--- a/whinrack/clock.py
+++ b/whinrack/clock.py
@@ -6,7 +6,7 @@
 
 import time
 
-__all__ = ["SleepWatch", "steady", "time_greenlets"]
+__all__ = ["SuspendDetector", "steady", "set_hub_clock"]
 
 # Where the system has no such clock the usual steady one is the nearest.
 _CLOCK = getattr(time, "CLOCK_BOOTTIME", time.CLOCK_MONOTONIC)
@@ -19,7 +19,7 @@
     return time.clock_gettime(_CLOCK)
 
 
-def time_greenlets() -> None:
+def set_hub_clock() -> None:
     """Let the timers of green threads go by this clock; call it before any is started."""
     # Imported here: reading the clock is the first thing that a process does.
     from eventlet.hubs import get_hub
@@ -27,13 +27,13 @@
     get_hub().clock = steady
 
 
-class SleepWatch:
+class SuspendDetector:
     """Notices that the machine was suspended, by the step between the two clocks."""
 
     def __init__(self):
         self._offset = self._read()
 
-    def slept(self) -> float:
+    def take_suspended_seconds(self) -> float:
         """Return for how many seconds the machine was suspended since the last call."""
         before, self._offset = self._offset, self._read()
         step = self._offset - before
--- a/whinrack/dispatch/_answers.py
+++ b/whinrack/dispatch/_answers.py
@@ -70,7 +70,7 @@
 
     def _record_first_event(self, run: RequestRun) -> None:
         seconds = steady() - run.exchange.received_at
-        self.metrics.first_byte.labels(str(run.route.kind)).observe(seconds)
+        self.metrics.first_byte_seconds.labels(str(run.route.kind)).observe(seconds)
 
     def _record_answered(self, run: RequestRun, head: ResponseHead) -> None:
         log_run(Event.REQUEST_ANSWERED, run, status=head.status, billed=run.billed_tokens)
--- a/whinrack/dispatch/_attempts.py
+++ b/whinrack/dispatch/_attempts.py
@@ -153,7 +153,7 @@
         run.tried_targets.add(state.record.identity)
         run.target = state.record.incarnation
         run.targets_view = self.targets_view()
-        self.metrics.targets_age.set(run.targets_view.age)
+        self.metrics.targets_age_seconds.set(run.targets_view.age)
         permit_until = self.registry.begin_request(state, pool.cold_start)
         run.pending_prompt = PendingPrompt(state, prompt.tokens if prompt is not None else 0)
         connection = None
--- a/whinrack/dispatch/_backoffs.py
+++ b/whinrack/dispatch/_backoffs.py
@@ -4,7 +4,7 @@
 applies only to the instance whose request was refused.
 """
 
-from whinrack.base import LONGEST_BACKOFF_SECONDS
+from whinrack.base import MAX_BACKOFF_SECONDS
 
 __all__ = ["Backoffs"]
 
@@ -23,7 +23,7 @@
     def start(self, target: str, seconds: float, now: float) -> None:
         """Start to back off from a target; a running back-off is never shortened."""
         self._forget(now)
-        until = now + min(seconds, LONGEST_BACKOFF_SECONDS)
+        until = now + min(seconds, MAX_BACKOFF_SECONDS)
         self._until[target] = max(until, self._until.get(target, until))
 
     def seconds_left(self, target: str, now: float) -> float:
--- a/whinrack/dispatch/_dispatcher.py
+++ b/whinrack/dispatch/_dispatcher.py
@@ -144,7 +144,7 @@
         """
         self.requests_in_progress += 1
         self.arrivals.record(1, steady())
-        self.metrics.in_progress.set(self.requests_in_progress)
+        self.metrics.requests_in_progress.set(self.requests_in_progress)
         request = None
         try:
             request = self.dialect.parse_request(exchange.head, exchange.body)
@@ -158,7 +158,7 @@
             self._refuse(exchange, request, InternalFailure("internal error"))
         finally:
             self.requests_in_progress -= 1
-            self.metrics.in_progress.set(self.requests_in_progress)
+            self.metrics.requests_in_progress.set(self.requests_in_progress)
 
     def _serve(self, exchange: Exchange, request: IncomingRequest) -> None:
         if self.is_refusing_requests:
--- a/whinrack/dispatch/_shared_rates.py
+++ b/whinrack/dispatch/_shared_rates.py
@@ -10,7 +10,7 @@
 from collections import deque
 from collections.abc import Callable, Collection, Mapping
 
-from whinrack.base import rendezvous
+from whinrack.base import rendezvous_order
 from whinrack.dispatch._rate_bounds import RateBound, RateShare, compute_share
 
 __all__ = ["SharedRatePermits"]
@@ -190,7 +190,7 @@
         if self.name not in members:
             return _NO_SHARE, 0
         share = compute_share(bound, len(members), self._was_complete)
-        return share, rendezvous(target, members).index(self.name)
+        return share, rendezvous_order(target, members).index(self.name)
 
     def _refilled_bucket(
         self, target: str, bound: RateBound, now: float, silent_seconds: float
--- a/whinrack/dispatch/_target_choice.py
+++ b/whinrack/dispatch/_target_choice.py
@@ -4,7 +4,7 @@
 import random
 from collections.abc import Callable
 
-from whinrack.base import rendezvous
+from whinrack.base import rendezvous_order
 from whinrack.dispatch._engine_choice import EngineBacklog, PromptSize, choose_engine
 from whinrack.dispatch._rate_limiter import RateLimiter
 from whinrack.dispatch._remote_loads import RemoteLoads
@@ -138,7 +138,7 @@
         mean = sum(map(load, states)) / len(states)
         max_load = math.ceil(_MAX_IMBALANCE * mean) + _IMBALANCE_SLACK
         by_name = {state.record.incarnation: state for state in states}
-        for name in rendezvous(affinity, by_name):
+        for name in rendezvous_order(affinity, by_name):
             state = by_name[name]
             if load(state) < max(max_load, _AFFINITY_SLOT_FRACTION * state.record.slots):
                 return state
--- a/whinrack/edge/_daemon.py
+++ b/whinrack/edge/_daemon.py
@@ -43,7 +43,7 @@
 from whinrack.edge._upstream_selection import FleetUpstreamSelector
 from whinrack.edge._warm_up_log import WarmUpLog
 from whinrack.http1 import ConnectionPool, HttpServer
-from whinrack.observability import BoundedOutput, Event, Metrics, configure_logs, log_event
+from whinrack.observability import BoundedLogWriter, Event, Metrics, configure_logging, log_event
 from whinrack.store import EraChange, MeteredStore, ObjectStore
 
 __all__ = ["EdgeDaemon"]
@@ -95,7 +95,7 @@
         self.holder = new_incarnation(options.name)
         self.metrics = Metrics()
         self.store = MeteredStore(store, self._count_call)
-        self.output = BoundedOutput(_STDOUT, options.log_lines_per_second)
+        self.output = BoundedLogWriter(_STDOUT, options.log_lines_per_second)
         self.store.era.listeners.append(self._on_era_changed)
         self.store.unknown_fields.listeners.append(self._on_unknown_field)
         self.availability = StoreAvailability(self._on_availability_changed)
@@ -210,7 +210,7 @@
         int
             Exit code of the process.
         """
-        configure_logs("INFO", json_lines=True, sink=self.output)
+        configure_logging("INFO", json_lines=True, sink=self.output)
         eventlet.spawn_n(self.upkeep.write_logs_forever)
         log_event(Event.ROUTER_STARTED, instance=self.options.name, run=self.holder)
         for number in (signal.SIGTERM, signal.SIGINT):
@@ -271,7 +271,7 @@
 
     def _on_configuration_applied(self, configuration: Configuration) -> None:
         self.grant_manager.set_limits(configuration.version, configuration.workspace_limits)
-        self.metrics.revision.set(configuration.version)
+        self.metrics.config_revision.set(configuration.version)
         log_event(Event.CONFIG_TAKEN, version=configuration.version, era=self.store.era.current)
 
     def _on_availability_changed(self, is_available: bool) -> None:
@@ -358,7 +358,7 @@
         self.shutdown.run(self.options)
         self.upkeep.log_traffic()
         log_event(Event.ROUTER_STOPPED, in_progress=self.dispatcher.requests_in_progress)
-        self.output.pump()
+        self.output.write_pending()
         sys.stdout.flush()
         os._exit(_EXIT_OK)
 
--- a/whinrack/edge/_entry_selection.py
+++ b/whinrack/edge/_entry_selection.py
@@ -1,6 +1,6 @@
 """Selection of the instances that callers connect to. Decisions only, no I/O."""
 
-from whinrack.base import rendezvous
+from whinrack.base import rendezvous_order
 from whinrack.gossip import Capacity, PeerState, has_high_capacity, max_capacity
 
 __all__ = ["choose_entries", "is_crowded", "is_serving_callers"]
@@ -57,7 +57,7 @@
 def _choose_in_hall(hall: str, states: list[PeerState], best_capacity: Capacity) -> list[PeerState]:
     by_name = {state.sender.name: state for state in states}
     # The order is the same at all instances, so that callers keep their connections.
-    names = rendezvous(f"entries/{hall}", by_name)
+    names = rendezvous_order(f"entries/{hall}", by_name)
     ordered = sorted(names, key=lambda name: not has_high_capacity(by_name[name], best_capacity))
     needed = max(_MIN_CORES, sum(state.load for state in states) / _OPEN_REQUESTS_PER_CORE)
     chosen: list[PeerState] = []
--- a/whinrack/edge/_suspects.py
+++ b/whinrack/edge/_suspects.py
@@ -6,7 +6,7 @@
 from eventlet.event import Event as Signal
 from returns.result import Failure
 
-from whinrack.base import rendezvous
+from whinrack.base import rendezvous_order
 from whinrack.clock import steady
 from whinrack.edge._options import HostPort
 from whinrack.edge._store_availability import StoreAvailability
@@ -89,7 +89,7 @@
             view.state.sender.name: view.state.sender.address
             for view in self.table.live_peers(steady())
         }
-        for name in rendezvous(case.fingerprint, [self.name, *peers])[:_OWNER_COUNT]:
+        for name in rendezvous_order(case.fingerprint, [self.name, *peers])[:_OWNER_COUNT]:
             if name != self.name:
                 self._send([case], peers[name])
 
@@ -194,8 +194,8 @@
 
     def _update_metrics(self) -> None:
         table = self.quarantine.table
-        self.metrics.suspected.set(len(table.suspect_cases()))
-        self.metrics.quarantined.set(len(table.blamed_fingerprints()))
+        self.metrics.suspected_requests.set(len(table.suspect_cases()))
+        self.metrics.quarantined_requests.set(len(table.blamed_fingerprints()))
 
 
 def _log_store_failure(operation: str, result: Failure) -> None:
--- a/whinrack/edge/_upkeep.py
+++ b/whinrack/edge/_upkeep.py
@@ -2,10 +2,10 @@
 
 import eventlet
 
-from whinrack.clock import SleepWatch
+from whinrack.clock import SuspendDetector
 from whinrack.edge._traffic import TrafficMeter
 from whinrack.gossip import GossipLink
-from whinrack.observability import BoundedOutput, Event, log_event
+from whinrack.observability import BoundedLogWriter, Event, log_event
 from whinrack.store import MeteredStore
 
 __all__ = ["Upkeep"]
@@ -26,7 +26,7 @@
     """
 
     def __init__(
-        self, output: BoundedOutput, traffic: TrafficMeter, store: MeteredStore, link: GossipLink
+        self, output: BoundedLogWriter, traffic: TrafficMeter, store: MeteredStore, link: GossipLink
     ):
         self.output = output
         self.traffic = traffic
@@ -36,15 +36,17 @@
 
     def write_logs_forever(self) -> None:
         """Write buffered lines; log dropped lines and suspensions of the machine."""
-        sleep_watch = SleepWatch()
+        sleep_watch = SuspendDetector()
         while True:
-            slept = sleep_watch.slept()
+            slept = sleep_watch.take_suspended_seconds()
             if slept:
                 log_event(Event.MACHINE_SUSPENDED, seconds=round(slept, 3))
-            self.output.pump()
-            if self.output.dropped > self._reported_drops:
-                log_event(Event.LINES_DROPPED, count=self.output.dropped - self._reported_drops)
-                self._reported_drops = self.output.dropped
+            self.output.write_pending()
+            if self.output.dropped_lines > self._reported_drops:
+                log_event(
+                    Event.LINES_DROPPED, count=self.output.dropped_lines - self._reported_drops
+                )
+                self._reported_drops = self.output.dropped_lines
             eventlet.sleep(_WRITE_INTERVAL_SECONDS)
 
     def log_traffic_forever(self) -> None:
--- a/whinrack/edge/_upstream_selection.py
+++ b/whinrack/edge/_upstream_selection.py
@@ -5,7 +5,7 @@
 
 import eventlet
 
-from whinrack.base import rendezvous
+from whinrack.base import rendezvous_order
 from whinrack.clock import steady
 from whinrack.edge._kind_follower import Upstream, UpstreamSelector
 from whinrack.edge._options import HostPort
@@ -51,7 +51,7 @@
     if any(state.store_confirmed for state in states):
         ready = [state for state in ready if state.store_answers] or ready
     by_name = {state.sender.name: state for state in prefer_high_capacity(ready)}
-    ordered = rendezvous(f"watch/{hall}", by_name)
+    ordered = rendezvous_order(f"watch/{hall}", by_name)
     return [by_name[name] for name in ordered[:_RELAYS_PER_HALL]]
 
 
@@ -67,7 +67,7 @@
     if any(state.store_confirmed for state in states):
         halls = {state.data_hall for state in states if state.store_answers} or halls
     count = max(_MIN_STORE_HALLS, math.ceil(len(states) / _INSTANCES_PER_STORE_HALL))
-    return rendezvous("following halls", halls)[:count]
+    return rendezvous_order("following halls", halls)[:count]
 
 
 class FleetUpstreamSelector(UpstreamSelector):
@@ -180,7 +180,7 @@
             return self._choose_remote_relay([*usable, own], own.data_hall, now)
         if own.sender.name in relays:
             return first
-        return relays[rendezvous(own.sender.name, relays)[0]]
+        return relays[rendezvous_order(own.sender.name, relays)[0]]
 
     def _choose_remote_relay(
         self, states: list[PeerState], own_hall: str, now: float
@@ -189,7 +189,7 @@
         halls = choose_store_halls(states)
         if own_hall in halls:
             return None
-        for hall in rendezvous(own_hall, halls):
+        for hall in rendezvous_order(own_hall, halls):
             if self._halls_avoided_until.get(hall, 0.0) <= now:
                 return choose_relays(states, hall)[0]
         return None
--- a/whinrack/edge/tests/test_suspects.py
+++ b/whinrack/edge/tests/test_suspects.py
@@ -4,7 +4,7 @@
 import pytest
 
 from standins.memory_store import MemoryStore
-from whinrack.base import rendezvous
+from whinrack.base import rendezvous_order
 from whinrack.clock import steady
 from whinrack.edge._store_availability import StoreAvailability
 from whinrack.edge._suspects import SuspectExchange
@@ -89,7 +89,7 @@
 
 def test_a_single_end_is_sent_to_the_three_owners_only(network):
     target_ended(network, "m0", "a")
-    owners = set(rendezvous("deadly", NAMES)[:3])
+    owners = set(rendezvous_order("deadly", NAMES)[:3])
     assert {to for _, to, _ in network.sent} == owners - {"m0"}
 
 
--- a/whinrack/exceptions.py
+++ b/whinrack/exceptions.py
@@ -174,7 +174,7 @@
 
     code = "refused"
     status = 500
-    kind = "api_error"
+    error_type = "api_error"
     outcome = Outcome.NOT_RUN
 
     def __init__(
@@ -195,19 +195,19 @@
 class Unauthorized(Refusal):
     """No key, or one that isn't known."""
 
-    code, status, kind = "invalid_api_key", 401, "authentication_error"
+    code, status, error_type = "invalid_api_key", 401, "authentication_error"
 
 
 class Forbidden(Refusal):
     """The key may not use what it asked for."""
 
-    code, status, kind = "forbidden", 403, "permission_error"
+    code, status, error_type = "forbidden", 403, "permission_error"
 
 
 class BadRequest(Refusal):
     """The request is malformed; `param` names the field."""
 
-    code, status, kind = "bad_request", 400, "invalid_request_error"
+    code, status, error_type = "bad_request", 400, "invalid_request_error"
 
 
 class CoverUnbounded(BadRequest):
@@ -219,128 +219,128 @@
 class UnknownModel(Refusal):
     """No pool serves this model."""
 
-    code, status, kind = "model_not_found", 404, "invalid_request_error"
+    code, status, error_type = "model_not_found", 404, "invalid_request_error"
 
 
 class UnknownPool(Refusal):
     """No plain service pool of this name."""
 
-    code, status, kind = "pool_not_found", 404, "invalid_request_error"
+    code, status, error_type = "pool_not_found", 404, "invalid_request_error"
 
 
 class RequestTimeout(Refusal):
     """The caller took too long to send its request."""
 
-    code, status, kind = "request_timeout", 408, "invalid_request_error"
+    code, status, error_type = "request_timeout", 408, "invalid_request_error"
 
 
 class KeyReused(Refusal):
     """The Idempotency-Key was used before with another body."""
 
-    code, status, kind = "idempotency_key_reused", 409, "invalid_request_error"
+    code, status, error_type = "idempotency_key_reused", 409, "invalid_request_error"
 
 
 class BodyTooLarge(Refusal):
     """The body is larger than allowed."""
 
-    code, status, kind = "body_too_large", 413, "invalid_request_error"
+    code, status, error_type = "body_too_large", 413, "invalid_request_error"
 
 
 class HeadersTooLarge(Refusal):
     """The request's head is larger than allowed."""
 
-    code, status, kind = "headers_too_large", 431, "invalid_request_error"
+    code, status, error_type = "headers_too_large", 431, "invalid_request_error"
 
 
 class NoRoute(Refusal):
     """No route in force has this host and path."""
 
-    code, status, kind = "no_route", 404, "invalid_request_error"
+    code, status, error_type = "no_route", 404, "invalid_request_error"
 
 
 class ConfigurationUnknown(Refusal):
     """This instance has not learnt any configuration yet."""
 
-    code, status, kind = "configuration_unknown", 503, "overloaded_error"
+    code, status, error_type = "configuration_unknown", 503, "overloaded_error"
 
 
 class RouterStopping(Refusal):
     """This instance is about to stop and takes no more requests."""
 
-    code, status, kind = "router_stopping", 503, "overloaded_error"
+    code, status, error_type = "router_stopping", 503, "overloaded_error"
 
 
 class BudgetExhausted(Refusal):
     """The prepaid budget can't cover the request."""
 
-    code, status, kind = "budget_exhausted", 402, "insufficient_quota"
+    code, status, error_type = "budget_exhausted", 402, "insufficient_quota"
 
 
 class BudgetContended(Refusal):
     """The budget has tokens, but none that this instance can reach now."""
 
-    code, status, kind = "budget_contended", 429, "rate_limit_error"
+    code, status, error_type = "budget_contended", 429, "rate_limit_error"
 
 
 class QueueFull(Refusal):
     """The pool's bounded queue is full."""
 
-    code, status, kind = "queue_full", 429, "rate_limit_error"
+    code, status, error_type = "queue_full", 429, "rate_limit_error"
 
 
 class DeadlineUnreachable(Refusal):
     """The request can't be started before its deadline."""
 
-    code, status, kind = "deadline_unreachable", 429, "rate_limit_error"
+    code, status, error_type = "deadline_unreachable", 429, "rate_limit_error"
 
 
 class TargetUnavailable(Refusal):
     """No target of the allowed pools takes work now."""
 
-    code, status, kind = "target_unavailable", 503, "overloaded_error"
+    code, status, error_type = "target_unavailable", 503, "overloaded_error"
 
 
 class TargetsCold(Refusal):
     """All targets have just started, and bear no more requests now."""
 
-    code, status, kind = "targets_cold", 503, "overloaded_error"
+    code, status, error_type = "targets_cold", 503, "overloaded_error"
 
 
 class TargetsLimited(Refusal):
     """All targets say that they take few requests, and those are taken."""
 
-    code, status, kind = "targets_limited", 503, "overloaded_error"
+    code, status, error_type = "targets_limited", 503, "overloaded_error"
 
 
 class TargetsOverloaded(Refusal):
     """All targets have told this instance to back off."""
 
-    code, status, kind = "targets_overloaded", 503, "overloaded_error"
+    code, status, error_type = "targets_overloaded", 503, "overloaded_error"
 
 
 class RequestQuarantined(Refusal):
     """Targets ended under each run of this request; it goes to no more."""
 
-    code, status, kind = "request_quarantined", 503, "api_error"
+    code, status, error_type = "request_quarantined", 503, "api_error"
 
 
 class ClaimUnavailable(Refusal):
     """A request that must run at most once couldn't be claimed."""
 
-    code, status, kind = "claim_unavailable", 503, "overloaded_error"
+    code, status, error_type = "claim_unavailable", 503, "overloaded_error"
 
 
 class OutcomeUnknown(Refusal):
     """The request may have run; it is not run again."""
 
-    code, status, kind = "outcome_unknown", 503, "api_error"
+    code, status, error_type = "outcome_unknown", 503, "api_error"
     outcome = Outcome.UNKNOWN
 
 
 class TargetFailed(Refusal):
     """The target failed after work was sent to it."""
 
-    code, status, kind = "target_failed", 502, "api_error"
+    code, status, error_type = "target_failed", 502, "api_error"
     outcome = Outcome.UNKNOWN
 
 
@@ -365,17 +365,17 @@
 class AnswerNotKept(Refusal):
     """The request ran and was billed, but its answer is no longer here."""
 
-    code, status, kind = "answer_not_kept", 409, "invalid_request_error"
+    code, status, error_type = "answer_not_kept", 409, "invalid_request_error"
     outcome = Outcome.RAN
 
 
 class NoSuchPath(Refusal):
     """No endpoint has this path and method."""
 
-    code, status, kind = "no_such_path", 404, "invalid_request_error"
+    code, status, error_type = "no_such_path", 404, "invalid_request_error"
 
 
 class InternalFailure(Refusal):
     """Whinrack itself failed."""
 
-    code, status, kind = "internal", 500, "api_error"
+    code, status, error_type = "internal", 500, "api_error"
--- a/whinrack/gossip/_draw_coordinator.py
+++ b/whinrack/gossip/_draw_coordinator.py
@@ -7,7 +7,7 @@
 from eventlet.timeout import Timeout
 from returns.result import Failure, Result, Success
 
-from whinrack.base import rendezvous
+from whinrack.base import rendezvous_order
 from whinrack.budgets import AccountBackend, DrawOrder, DrawResult, ReleasedRow, RunRelease
 from whinrack.clock import steady
 from whinrack.exceptions import PlatformFailure, PlatformUnavailable
@@ -194,7 +194,7 @@
             if view.state.store_confirmed and view.state.ready
         }
         names = {state.sender.name for state in prefer_high_capacity(self._candidates(views))}
-        for name in rendezvous(account, names):
+        for name in rendezvous_order(account, names):
             if name == self.name:
                 return None
             if self._avoid_until.get(name, 0.0) <= now:
--- a/whinrack/gossip/_token_source.py
+++ b/whinrack/gossip/_token_source.py
@@ -7,7 +7,7 @@
 from eventlet.event import Event
 from eventlet.timeout import Timeout
 
-from whinrack.base import rendezvous
+from whinrack.base import rendezvous_order
 from whinrack.budgets import SpareTokenSource, TransferTotal
 from whinrack.clock import steady
 from whinrack.gossip._capacity import prefer_high_capacity
@@ -124,7 +124,7 @@
         # Suppliers are instances of high capacity. Those that callers use would be another choice
         # but change too often.
         names = [state.sender.name for state in prefer_high_capacity(states)]
-        return views.get(rendezvous(f"supply/{budget}", names)[0])
+        return views.get(rendezvous_order(f"supply/{budget}", names)[0])
 
     def request_from_peers(
         self, budget: str, need: int, wish: int, received: dict[str, int]
@@ -146,7 +146,7 @@
         views = {view.state.sender.name: view for view in reaching_store}
         if not views:
             return []
-        drawing_peer = rendezvous(f"{self.holder}/{budget}", views)[0]
+        drawing_peer = rendezvous_order(f"{self.holder}/{budget}", views)[0]
         request = self._request(budget, need, wish, allow_draw=True)
         return self._ask(
             [views[drawing_peer]], request, received, _PEER_DRAW_TIMEOUT_FACTOR * self.reply_timeout
--- a/whinrack/gossip/tests/test_token_source.py
+++ b/whinrack/gossip/tests/test_token_source.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from whinrack.base import rendezvous
+from whinrack.base import rendezvous_order
 from whinrack.clock import steady
 from whinrack.gossip import GossipTokenSource, Heartbeat, PeerAddress, PeerState, PeerTable
 
@@ -97,7 +97,7 @@
 def budgets_of(name, candidates):
     """Return budgets that the candidate `name` supplies."""
     names = [f"b{number}" for number in range(50)]
-    return [each for each in names if rendezvous(f"supply/{each}", candidates)[0] == name]
+    return [each for each in names if rendezvous_order(f"supply/{each}", candidates)[0] == name]
 
 
 def test_the_only_supplier_of_a_budget_is_asked_twice(world):
@@ -108,7 +108,7 @@
 def test_supplier_that_does_not_reply_is_replaced(world):
     (budget, *_) = budgets_of("c", ["a", "b", "c"])
     suppliers_asked(world, budget, beat("b"), beat("c"))
-    replacement = rendezvous(f"supply/{budget}", ["a", "b"])[0]
+    replacement = rendezvous_order(f"supply/{budget}", ["a", "b"])[0]
     assert world[0].is_supplier(budget) == (replacement == "a")
 
 
--- a/whinrack/green.py
+++ b/whinrack/green.py
@@ -7,10 +7,10 @@
 import os
 import warnings
 
-__all__ = ["patch"]
+__all__ = ["monkey_patch"]
 
 
-def patch() -> None:
+def monkey_patch() -> None:
     """Choose the asyncio hub, on which grpclib runs too, and patch the library.
 
     Addresses are IP numbers, so eventlet's own name resolution stays off.
--- a/whinrack/membership/_members.py
+++ b/whinrack/membership/_members.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from whinrack.base import rendezvous
+from whinrack.base import rendezvous_order
 from whinrack.store import InstanceRecord, InstanceState
 
 __all__ = ["ROUTER_ROLE", "TARGET_ROLE", "Member", "MembershipTable"]
@@ -157,7 +157,7 @@
         """Return the incarnations in the own data hall that watch the platform, at most `count`."""
         hall = [member for member in self.live_members(now) if member.data_hall == own.data_hall]
         names = [member.incarnation for member in hall if not member.leaving]
-        return rendezvous(own.data_hall, [own.incarnation, *names])[:count]
+        return rendezvous_order(own.data_hall, [own.incarnation, *names])[:count]
 
     def drawing_incarnation(self, own: Member, account: str, now: float) -> str:
         """Return the incarnation that draws tokens from an account for the own region."""
@@ -165,12 +165,12 @@
         names = [member.incarnation for member in region if not member.leaving]
         if not own.leaving:
             names.append(own.incarnation)
-        return rendezvous(account, names or [own.incarnation])[0]
+        return rendezvous_order(account, names or [own.incarnation])[0]
 
     def home_incarnation(self, own: Member, identity: str, now: float) -> str:
         """Return the home incarnation of a request without a ticket."""
         names = [member.incarnation for member in self.live_members(now)]
-        return rendezvous(identity, [own.incarnation, *names])[0]
+        return rendezvous_order(identity, [own.incarnation, *names])[0]
 
     def handover_candidates(self, now: float) -> list[str]:
         """Return the incarnations that may take over the request memory of a stopping home."""
--- a/whinrack/observability/__init__.py
+++ b/whinrack/observability/__init__.py
@@ -1,7 +1,7 @@
 """Numbered log events and metrics."""
 
-from whinrack.observability._events import Event, configure_logs, log_event
+from whinrack.observability._events import Event, configure_logging, log_event
 from whinrack.observability._metrics import Metrics
-from whinrack.observability._output import BoundedOutput
+from whinrack.observability._output import BoundedLogWriter
 
-__all__ = ["BoundedOutput", "Event", "Metrics", "configure_logs", "log_event"]
+__all__ = ["BoundedLogWriter", "Event", "Metrics", "configure_logging", "log_event"]
--- a/whinrack/observability/_events.py
+++ b/whinrack/observability/_events.py
@@ -10,7 +10,7 @@
 import msgspec
 from loguru import logger
 
-__all__ = ["Event", "configure_logs", "log_event"]
+__all__ = ["Event", "configure_logging", "log_event"]
 
 
 class Event(Enum):
@@ -114,7 +114,7 @@
     bound.log(event.level, event.text)
 
 
-def configure_logs(level: str, json_lines: bool, sink: TextIO | None = None) -> None:
+def configure_logging(level: str, json_lines: bool, sink: TextIO | None = None) -> None:
     """Send logs as text or JSON lines to a sink, by default standard error."""
     logger.remove()
     logger.add(sink or sys.stderr, level=level, format=_json_line if json_lines else _text_line)
--- a/whinrack/observability/_metrics.py
+++ b/whinrack/observability/_metrics.py
@@ -20,7 +20,9 @@
             "retries_denied", "Further attempts not made, by reason", "reason"
         )
         self.tokens = self._counter("tokens", "Tokens settled, by how", "how")
-        self.joins = self._counter("joined_retries", "Retries that joined an answer", "where")
+        self.joined_retries = self._counter(
+            "joined_retries", "Retries that joined an answer", "where"
+        )
         self.consultations = self._counter(
             "consultations", "Questions to home instances, by answer", "answer"
         )
@@ -38,7 +40,9 @@
         )
         self.policy_failures = self._counter("policy_failures", "Programs that failed", "policy")
         self.bills = self._counter("bills", "Bill records, by state when the answer ended", "state")
-        self.config_taken = self._counter("config_objects", "Objects taken in, by source", "source")
+        self.config_objects = self._counter(
+            "config_objects", "Objects taken in, by source", "source"
+        )
         self.invalid_objects = self._counter(
             "invalid_objects", "Stored objects that can't be used", "kind"
         )
@@ -49,11 +53,15 @@
             "unknown_statements", "Fields of targets' answers that nothing here heeds", "field"
         )
         self.ejections = self._counter("ejections", "Targets set aside")
-        self.first_byte = self._histogram("first_byte_seconds", "Time to the first byte", "kind")
-        self.queue_wait = self._histogram("queue_wait_seconds", "Time in the queue", "class_")
+        self.first_byte_seconds = self._histogram(
+            "first_byte_seconds", "Time to the first byte", "kind"
+        )
+        self.queue_wait_seconds = self._histogram(
+            "queue_wait_seconds", "Time in the queue", "class_"
+        )
         self.store_era = self._gauge("store_era", "Era that the store's answers name")
-        self.revision = self._gauge("config_revision", "Configuration revision in force")
-        self.targets_age = self._gauge(
+        self.config_revision = self._gauge("config_revision", "Configuration revision in force")
+        self.targets_age_seconds = self._gauge(
             "targets_age_seconds", "Time since the store confirmed the list of targets"
         )
         self.emptied_halls = self._gauge("emptied_halls", "Data halls whose targets get nothing")
@@ -64,16 +72,18 @@
         self.backed_off_targets = self._gauge(
             "backed_off_targets", "Targets that told this instance to back off, until that is over"
         )
-        self.suspected = self._gauge(
+        self.suspected_requests = self._gauge(
             "suspected_requests", "Requests with which several targets ended, cleared ones included"
         )
-        self.quarantined = self._gauge("quarantined_requests", "Requests that go to no target")
+        self.quarantined_requests = self._gauge(
+            "quarantined_requests", "Requests that go to no target"
+        )
         self.members = self._gauge("members", "Peers that look alive")
-        self.in_progress = self._gauge("requests_in_progress", "Requests in progress")
-        self.spendable = self._gauge("spendable_tokens", "Unspent tokens held here")
-        self.open_cover = self._gauge("open_cover_tokens", "Tokens that cover open requests")
+        self.requests_in_progress = self._gauge("requests_in_progress", "Requests in progress")
+        self.spendable_tokens = self._gauge("spendable_tokens", "Unspent tokens held here")
+        self.open_cover_tokens = self._gauge("open_cover_tokens", "Tokens that cover open requests")
         self.journal_pending = self._gauge("journal_pending", "Bill records not kept yet")
-        self.memory_entries = self._gauge("request_memory_entries", "Requests remembered")
+        self.request_memory_entries = self._gauge("request_memory_entries", "Requests remembered")
 
     def render(self) -> bytes:
         """Return the text form that Prometheus reads."""
--- a/whinrack/observability/_output.py
+++ b/whinrack/observability/_output.py
@@ -5,12 +5,12 @@
 
 from whinrack.clock import steady
 
-__all__ = ["BoundedOutput"]
+__all__ = ["BoundedLogWriter"]
 
 _MOST_WAITING = 2000
 
 
-class BoundedOutput:
+class BoundedLogWriter:
     """Takes lines at once and writes them when the pipe has room.
 
     Parameters
@@ -29,7 +29,7 @@
     def __init__(self, descriptor: int, lines_per_second: float):
         self.descriptor = descriptor
         self.lines_per_second = lines_per_second
-        self.dropped = 0
+        self.dropped_lines = 0
         self._lines: deque[bytes] = deque()
         self._rest = b""
         self._saved = lines_per_second
@@ -39,11 +39,11 @@
     def write(self, text: str) -> None:
         """Take a line; never blocks."""
         if not self._permit() or len(self._lines) >= _MOST_WAITING:
-            self.dropped += 1
+            self.dropped_lines += 1
             return
         self._lines.append(text.encode("utf-8", "backslashreplace"))
 
-    def pump(self) -> None:
+    def write_pending(self) -> None:
         """Write what the pipe takes now."""
         while self._rest or self._lines:
             if not self._rest:
--- a/whinrack/operators/__init__.py
+++ b/whinrack/operators/__init__.py
@@ -1,10 +1,10 @@
 """What operators do: apply declarations, look at budgets and bills, see the fleet."""
 
 from whinrack.operators._accounts import (
-    BudgetBooks,
-    HolderBooks,
-    budget_books,
+    BudgetBalance,
+    HolderBalance,
     read_bills,
+    read_budget_balance,
     release_grant,
     top_up,
 )
@@ -14,23 +14,23 @@
     FieldDiff,
     apply_change,
     plan_changes,
-    read_snapshot,
+    read_declared_objects,
 )
-from whinrack.operators._fleet import FleetRow, fleet_status
+from whinrack.operators._fleet import RouterRow, read_fleet_status
 
 __all__ = [
-    "BudgetBooks",
+    "BudgetBalance",
     "Change",
     "ChangeKind",
     "FieldDiff",
-    "FleetRow",
-    "HolderBooks",
+    "RouterRow",
+    "HolderBalance",
     "apply_change",
-    "budget_books",
-    "fleet_status",
+    "read_budget_balance",
+    "read_fleet_status",
     "plan_changes",
     "read_bills",
-    "read_snapshot",
+    "read_declared_objects",
     "release_grant",
     "top_up",
 ]
--- a/whinrack/operators/_accounts.py
+++ b/whinrack/operators/_accounts.py
@@ -16,16 +16,16 @@
 from whinrack.store import InstanceRecord, ObjectEditor, ObjectStore
 
 __all__ = [
-    "BudgetBooks",
-    "HolderBooks",
-    "budget_books",
+    "BudgetBalance",
+    "HolderBalance",
+    "read_budget_balance",
     "read_bills",
     "release_grant",
     "top_up",
 ]
 
 
-class HolderBooks(msgspec.Struct, frozen=True):
+class HolderBalance(msgspec.Struct, frozen=True):
     """What one incarnation holds; `listed` tells whether its instance is on the list."""
 
     holder: str
@@ -36,7 +36,7 @@
     listed: bool
 
 
-class BudgetBooks(msgspec.Struct, frozen=True):
+class BudgetBalance(msgspec.Struct, frozen=True):
     """One budget's books: limit = billed + unproven + outstanding + free."""
 
     budget: str
@@ -46,10 +46,10 @@
     unproven: int
     outstanding: int
     free: int
-    holders: list[HolderBooks]
+    holders: list[HolderBalance]
 
 
-def budget_books(store: ObjectStore, name: str) -> Result[BudgetBooks, WhinrackError]:
+def read_budget_balance(store: ObjectStore, name: str) -> Result[BudgetBalance, WhinrackError]:
     """Read a budget's books."""
     account = _account_of(store, name)
     if isinstance(account, Failure):
@@ -108,10 +108,10 @@
 
 def _books(
     name: str, account: str, entry: BudgetEntry, listed: tuple[InstanceRecord, ...]
-) -> BudgetBooks:
+) -> BudgetBalance:
     names = {record.name for record in listed}
     holders = [
-        HolderBooks(
+        HolderBalance(
             holder=holder,
             outstanding=row.outstanding,
             billed=row.billed,
@@ -121,7 +121,7 @@
         )
         for holder, row in sorted(entry.rows.items())
     ]
-    return BudgetBooks(
+    return BudgetBalance(
         budget=name,
         account=account,
         limit=entry.limit,
--- a/whinrack/operators/_apply.py
+++ b/whinrack/operators/_apply.py
@@ -18,7 +18,14 @@
 )
 from whinrack.store import ObjectEditor, ObjectStore, Snapshot, StoredObject
 
-__all__ = ["Change", "ChangeKind", "FieldDiff", "apply_change", "plan_changes", "read_snapshot"]
+__all__ = [
+    "Change",
+    "ChangeKind",
+    "FieldDiff",
+    "apply_change",
+    "plan_changes",
+    "read_declared_objects",
+]
 
 _ORDER = ("RoutingPolicy", "Workspace", "TargetPool", "Budget", "Target", "ApiKey")
 _ACCOUNTS = 64
@@ -30,7 +37,7 @@
 
     CREATE = "create"
     UPDATE = "update"
-    SAME = "same"
+    UNCHANGED = "same"
 
 
 class FieldDiff(msgspec.Struct, frozen=True):
@@ -56,7 +63,7 @@
     fields: tuple[FieldDiff, ...] = ()
 
 
-def read_snapshot(store: ObjectStore) -> Result[Snapshot, PlatformFailure]:
+def read_declared_objects(store: ObjectStore) -> Result[Snapshot, PlatformFailure]:
     """Read all declared objects."""
     return store.list(tuple(DECLARED_KINDS))
 
@@ -89,7 +96,7 @@
     """
     declaration = change.declaration
     version: Result[int, WhinrackError] = Success(change.version)
-    if change.kind is not ChangeKind.SAME:
+    if change.kind is not ChangeKind.UNCHANGED:
         version = _write(store, change)
     if isinstance(version, Failure) or not isinstance(declaration.spec, Budget):
         return version
@@ -147,7 +154,7 @@
         for field in new
         if old.get(field) != new.get(field)
     )
-    kind = ChangeKind.UPDATE if fields else ChangeKind.SAME
+    kind = ChangeKind.UPDATE if fields else ChangeKind.UNCHANGED
     return Change(kind, declaration, stored.version, fields)
 
 
--- a/whinrack/operators/_fleet.py
+++ b/whinrack/operators/_fleet.py
@@ -8,12 +8,12 @@
 from whinrack.status import FLEET_KEY_HEADER, RouterStatus
 from whinrack.store import InstanceRecord, ObjectStore
 
-__all__ = ["FleetRow", "fleet_status"]
+__all__ = ["RouterRow", "read_fleet_status"]
 
 _TIMEOUT = 2.0
 
 
-class FleetRow(msgspec.Struct, frozen=True):
+class RouterRow(msgspec.Struct, frozen=True):
     """One router of the list, with its own word if it answered."""
 
     name: str
@@ -22,7 +22,7 @@
     status: RouterStatus | None
 
 
-def fleet_status(store: ObjectStore, fleet_key: str) -> Result[list[FleetRow], WhinrackError]:
+def read_fleet_status(store: ObjectStore, fleet_key: str) -> Result[list[RouterRow], WhinrackError]:
     """Return the state of each listed router."""
     listed = store.instances()
     if isinstance(listed, Failure):
@@ -32,9 +32,9 @@
     return Success([_row(http, record, fleet_key) for record in routers])
 
 
-def _row(http, record: InstanceRecord, fleet_key: str) -> FleetRow:
+def _row(http, record: InstanceRecord, fleet_key: str) -> RouterRow:
     status = _ask(http, record.http_address, fleet_key)
-    return FleetRow(record.name, record.http_address, str(record.state), status.value_or(None))
+    return RouterRow(record.name, record.http_address, str(record.state), status.value_or(None))
 
 
 def _ask(http, address: str, fleet_key: str) -> Result[RouterStatus, PeerUnavailable]:
--- a/whinrack/routing/_pickers.py
+++ b/whinrack/routing/_pickers.py
@@ -3,7 +3,7 @@
 import random
 from collections.abc import Sequence
 
-from whinrack.base import rendezvous
+from whinrack.base import rendezvous_order
 from whinrack.routing._targets import TargetView
 
 __all__ = ["AffinityPicker", "Picker", "RandomPicker", "TwoChoicesPicker"]
@@ -91,7 +91,7 @@
         mean = sum(target.estimate_load(now) for target in targets) / len(targets)
         bound = max(1.0, self.max_load_ratio * mean)
         by_name = {target.name: target for target in targets}
-        for name in rendezvous(key, by_name)[:2]:
+        for name in rendezvous_order(key, by_name)[:2]:
             if by_name[name].estimate_load(now) <= bound:
                 return by_name[name]
         return self.fallback.pick(targets, key, now)
--- a/whinrack/routing/_targets.py
+++ b/whinrack/routing/_targets.py
@@ -2,7 +2,7 @@
 
 import msgspec
 
-from whinrack.base import LONGEST_BACKOFF_SECONDS
+from whinrack.base import MAX_BACKOFF_SECONDS
 from whinrack.ejection import EjectionPolicy
 from whinrack.objects import Target, TargetState
 
@@ -112,7 +112,7 @@
 
     def start_backoff(self, seconds: float, now: float) -> None:
         """Send the target nothing for some seconds, because it asked for that."""
-        self.backoff_until = max(self.backoff_until, now + min(seconds, LONGEST_BACKOFF_SECONDS))
+        self.backoff_until = max(self.backoff_until, now + min(seconds, MAX_BACKOFF_SECONDS))
 
     def record_overload(self) -> None:
         """Record that the target reported overload, and lower the concurrency limit."""
--- a/whinrack/server/_admission.py
+++ b/whinrack/server/_admission.py
@@ -169,7 +169,7 @@
             return self._wait_for_slot(pool, query, queued, semaphore)
         finally:
             pool.queue.remove(queued)
-            self.metrics.queue_wait.labels(str(query.request_class)).observe(steady() - now)
+            self.metrics.queue_wait_seconds.labels(str(query.request_class)).observe(steady() - now)
 
     def _wait_for_slot(self, pool, query, queued, semaphore) -> Result[Slot, Refusal]:
         """Wait until a slot is free, the wait ends or a more urgent request takes the place."""
--- a/whinrack/server/_call_runner.py
+++ b/whinrack/server/_call_runner.py
@@ -5,7 +5,7 @@
 import eventlet
 from returns.result import Failure, Result
 
-from whinrack.base import Outcome, rendezvous
+from whinrack.base import Outcome, rendezvous_order
 from whinrack.clock import steady
 from whinrack.exceptions import OutcomeUnknown, PeerUnavailable, Refusal, TargetFailed
 from whinrack.requests import RunState
@@ -113,7 +113,7 @@
             if name in pools
             for target in pools[name].targets.values()
         }
-        names = rendezvous(call.identity.name, targets)[:_MAX_CANDIDATES]
+        names = rendezvous_order(call.identity.name, targets)[:_MAX_CANDIDATES]
         return [targets[name] for name in names]
 
     def send(self, call: Call, slot: Slot, path: str, headers) -> Result:
@@ -174,7 +174,7 @@
             if steady() >= call.deadline:
                 raise OutcomeUnknown("another attempt at this request is running", retry_after=1.0)
             eventlet.sleep(_JOIN_POLL_SECONDS)
-        self.context.metrics.joins.labels("here").inc()
+        self.context.metrics.joined_retries.labels("here").inc()
         return joined_answer(entry.answer.read())
 
     def _join_peer(self, call: Call, decision: JoinPeer) -> HttpAnswer | None:
@@ -188,7 +188,7 @@
             # `run` decides again which instance owns the request.
             eventlet.sleep(_JOIN_POLL_SECONDS)
             return None
-        self.context.metrics.joins.labels("peer").inc()
+        self.context.metrics.joined_retries.labels("peer").inc()
         return answer
 
     # --- ends --------------------------------------------------------------------
--- a/whinrack/server/_chat.py
+++ b/whinrack/server/_chat.py
@@ -257,7 +257,7 @@
             response.close()
             self._record_dropped_answer(call, failure)
             return Failure(failure)
-        self.context.metrics.first_byte.labels(self.kind).observe(
+        self.context.metrics.first_byte_seconds.labels(self.kind).observe(
             steady() - call.request.arrived_at
         )
         headers = [("Content-Type", _SSE_CONTENT_TYPE), ("Cache-Control", "no-cache")]
--- a/whinrack/server/_config_follower.py
+++ b/whinrack/server/_config_follower.py
@@ -149,4 +149,4 @@
 
     def _count_changes(self, source: str, taken: int) -> None:
         if taken:
-            self.context.metrics.config_taken.labels(source).inc(taken)
+            self.context.metrics.config_objects.labels(source).inc(taken)
--- a/whinrack/server/_consultation.py
+++ b/whinrack/server/_consultation.py
@@ -5,7 +5,7 @@
 import msgspec
 from returns.result import Failure
 
-from whinrack.base import rendezvous
+from whinrack.base import rendezvous_order
 from whinrack.clock import steady
 from whinrack.membership import Member
 from whinrack.peers import ConsultQuery
@@ -63,7 +63,7 @@
         now = steady()
         own_incarnation = self.context.state.incarnation
         candidates = [own_incarnation, *self.context.membership_table.handover_candidates(now)]
-        name = rendezvous(request.identity.name, candidates)[0]
+        name = rendezvous_order(request.identity.name, candidates)[0]
         if name == own_incarnation:
             if self.context.request_memory.is_responsible_for(home, now):
                 return SuccessorReply(None, ConsultReply(ConsultDecision.CEDED, own_incarnation))
--- a/whinrack/server/_daemon.py
+++ b/whinrack/server/_daemon.py
@@ -7,7 +7,7 @@
 import eventlet.wsgi
 from eventlet.semaphore import Semaphore
 
-from whinrack.base import new_incarnation, rendezvous
+from whinrack.base import new_incarnation, rendezvous_order
 from whinrack.budgets import AccountWriter, BudgetManager
 from whinrack.clock import steady
 from whinrack.engines import TargetClient
@@ -15,7 +15,7 @@
 from whinrack.feed import ConfigStore
 from whinrack.journal import JournalWriter
 from whinrack.membership import MembershipTable
-from whinrack.observability import Event, Metrics, configure_logs, log_event
+from whinrack.observability import Event, Metrics, configure_logging, log_event
 from whinrack.peers import PeerClient, PeerServer, client_context, server_context
 from whinrack.requests import ClaimStore, RequestMemory
 from whinrack.server._admission import PoolDirectory
@@ -65,7 +65,7 @@
             The exit code.
         """
         logs = self.settings.logs
-        configure_logs(logs.level, logs.format == "json")
+        configure_logging(logs.level, logs.format == "json")
         signal.signal(signal.SIGTERM, lambda *_: self._exit.release())
         signal.signal(signal.SIGINT, lambda *_: self._exit.release())
         sock = self._listen()
@@ -232,9 +232,9 @@
         }
         for entry in context.request_memory.handover_entries():
             if entries_by_successor:
-                entries_by_successor[rendezvous(entry.identity, entries_by_successor)[0]].append(
-                    entry
-                )
+                entries_by_successor[
+                    rendezvous_order(entry.identity, entries_by_successor)[0]
+                ].append(entry)
         for successor, entries in entries_by_successor.items():
             address = context.membership_table.find(successor).peer_address
             context.peer_client.hand_over(address, home, entries)
--- a/whinrack/server/_http.py
+++ b/whinrack/server/_http.py
@@ -198,7 +198,7 @@
 
 def error_body(refusal: Refusal) -> bytes:
     """Encode a refusal as a JSON error body."""
-    body = ErrorBody(refusal.message, refusal.kind, refusal.code, refusal.param)
+    body = ErrorBody(refusal.message, refusal.error_type, refusal.code, refusal.param)
     return msgspec.json.encode(ErrorEnvelope(body))
 
 
--- a/whinrack/server/_operations.py
+++ b/whinrack/server/_operations.py
@@ -138,10 +138,10 @@
     def _set_gauges(self) -> None:
         context, metrics = self.context, self.context.metrics
         ledgers = context.budget_manager.ledgers()
-        metrics.revision.set(context.config.newest_version)
+        metrics.config_revision.set(context.config.newest_version)
         metrics.members.set(len(context.membership_table.live_members(steady())))
-        metrics.in_progress.set(context.state.in_progress)
-        metrics.spendable.set(sum(ledger.spendable for ledger in ledgers))
-        metrics.open_cover.set(sum(ledger.open_cover for ledger in ledgers))
+        metrics.requests_in_progress.set(context.state.in_progress)
+        metrics.spendable_tokens.set(sum(ledger.spendable for ledger in ledgers))
+        metrics.open_cover_tokens.set(sum(ledger.open_cover for ledger in ledgers))
         metrics.journal_pending.set(context.bill_keeper.writer.pending_count)
-        metrics.memory_entries.set(len(context.request_memory))
+        metrics.request_memory_entries.set(len(context.request_memory))
--- a/whinrack/server/_services.py
+++ b/whinrack/server/_services.py
@@ -116,7 +116,7 @@
             response.close()
             return Failure(cut)
         call.slot.target.record_success(steady())
-        self.context.metrics.first_byte.labels(self.kind).observe(
+        self.context.metrics.first_byte_seconds.labels(self.kind).observe(
             steady() - call.request.arrived_at
         )
         headers = _returned_headers(response)
--- a/whinrack/settings/__init__.py
+++ b/whinrack/settings/__init__.py
@@ -4,7 +4,7 @@
     Settings,
     load_settings,
     parse_settings,
-    settings_reference,
+    render_settings_reference,
 )
 
-__all__ = ["Settings", "load_settings", "parse_settings", "settings_reference"]
+__all__ = ["Settings", "load_settings", "parse_settings", "render_settings_reference"]
--- a/whinrack/settings/_settings.py
+++ b/whinrack/settings/_settings.py
@@ -10,7 +10,7 @@
 
 from whinrack.exceptions import InvalidSettings
 
-__all__ = ["Settings", "load_settings", "parse_settings", "settings_reference"]
+__all__ = ["Settings", "load_settings", "parse_settings", "render_settings_reference"]
 
 _ADDRESS = r"^\d{1,3}(\.\d{1,3}){3}:\d{1,5}$"
 _NAME = r"^[a-z0-9]([a-z0-9-]{0,40}[a-z0-9])?$"
@@ -167,7 +167,7 @@
     return Settings(**values)
 
 
-def settings_reference() -> str:
+def render_settings_reference() -> str:
     """Return the settings reference as a Markdown page."""
     lines = ["# Settings", "", "Made from the code by `make generate`. The file is INI.", ""]
     for section in msgspec.structs.fields(Settings):
--- a/whinrack/settings/tests/test_settings.py
+++ b/whinrack/settings/tests/test_settings.py
@@ -3,7 +3,7 @@
 import pytest
 
 from whinrack.exceptions import InvalidSettings
-from whinrack.settings import parse_settings, settings_reference
+from whinrack.settings import parse_settings, render_settings_reference
 
 GOOD = """
 [instance]
@@ -56,6 +56,6 @@
 
 
 def test_the_reference_names_every_section():
-    text = settings_reference()
+    text = render_settings_reference()
     for section in ("instance", "http", "peer", "platform", "budgets", "journal", "stop"):
         assert f"## [{section}]" in text
