--- a/whinrack/cli/__init__.py
+++ b/whinrack/cli/__init__.py
@@ -4,12 +4,12 @@
 
 __all__ = ["main"]
 
-_DAEMON = ["router", "run"]
+_DAEMON_COMMAND = ["router", "run"]
 
 
 def main() -> None:
     """Run the command line; a daemon is prepared before anything else is imported."""
-    if sys.argv[1:3] == _DAEMON:
+    if sys.argv[1:3] == _DAEMON_COMMAND:
         from whinrack.green import monkey_patch
 
         monkey_patch()
--- a/whinrack/cli/_accounts.py
+++ b/whinrack/cli/_accounts.py
@@ -6,8 +6,8 @@
 import click
 from returns.result import Failure
 
-from whinrack.cli._options import OUTPUT, PLATFORM, open_store
-from whinrack.cli._output import show, unwrap
+from whinrack.cli._options import OUTPUT_OPTION, PLATFORM_OPTION, open_store
+from whinrack.cli._output import print_result, value_or_exit
 from whinrack.objects import make_key
 from whinrack.operators import read_bills, read_budget_balance, release_grant, top_up
 
@@ -21,11 +21,11 @@
 
 @budget.command("show")
 @click.argument("name")
-@PLATFORM
-@OUTPUT
+@PLATFORM_OPTION
+@OUTPUT_OPTION
 def budget_show(name: str, platform: str, output: str) -> None:
     """Show a budget's books; a holder marked `gone` isn't on the instance list."""
-    books = unwrap(read_budget_balance(open_store(platform), name))
+    books = value_or_exit(read_budget_balance(open_store(platform), name))
     lines = [
         f"{books.budget}: limit {books.limit} = billed {books.billed} + unproven "
         f"{books.unproven} + outstanding {books.outstanding} + free {books.free}"
@@ -36,14 +36,14 @@
             f"  {row.holder} {state} outstanding={row.outstanding} billed={row.billed} "
             f"unproven={row.unproven}"
         )
-    show(books, output, "\n".join(lines))
+    print_result(books, output, "\n".join(lines))
 
 
 @budget.command("topup")
 @click.argument("name")
 @click.argument("tokens", type=click.IntRange(1, 10**15))
 @click.option("--id", "payment", help="Payment id; repeating it pays once. Default: a new one.")
-@PLATFORM
+@PLATFORM_OPTION
 def budget_topup(name: str, tokens: int, payment: str | None, platform: str) -> None:
     """Pay TOKENS into budget NAME.
 
@@ -54,7 +54,7 @@
     result = top_up(open_store(platform), name, payment, tokens)
     if isinstance(result, Failure):
         click.echo(f"payment id {payment}; repeat the command with it", err=True)
-    entry = unwrap(result)
+    entry = value_or_exit(result)
     click.echo(f"{name}: limit {entry.limit}, payment id {payment}")
 
 
@@ -67,29 +67,29 @@
     help="Tokens known to be spent; the rest becomes free. Default: all stay out of use.",
 )
 @click.confirmation_option(prompt="Is this incarnation gone for good?")
-@PLATFORM
+@PLATFORM_OPTION
 def budget_release(name: str, holder: str, served: int | None, platform: str) -> None:
     """Release what a killed incarnation holds of budget NAME.
 
     Without --served nothing becomes spendable: the tokens are only booked as unproven.
     Tokens that are given back though their holder still lives could be spent twice.
     """
-    entry = unwrap(release_grant(open_store(platform), name, holder, served))
+    entry = value_or_exit(release_grant(open_store(platform), name, holder, served))
     click.echo(f"{name}: free {entry.free}, unproven {entry.unproven}")
 
 
 @click.command()
-@PLATFORM
-@OUTPUT
+@PLATFORM_OPTION
+@OUTPUT_OPTION
 def bill(platform: str, output: str) -> None:
     """Show each workspace's bill: every request once, however often it ran."""
-    bills = unwrap(read_bills(open_store(platform)))
+    bills = value_or_exit(read_bills(open_store(platform)))
     lines = [
         f"{name}: {row.requests} requests, {row.tokens} tokens"
         f" ({row.duplicate_tokens} of further runs not billed)"
         for name, row in sorted(bills.items())
     ]
-    show(bills, output, "\n".join(lines))
+    print_result(bills, output, "\n".join(lines))
 
 
 @click.group()
--- a/whinrack/cli/_fleet.py
+++ b/whinrack/cli/_fleet.py
@@ -3,8 +3,8 @@
 import click
 import msgspec
 
-from whinrack.cli._options import FLEET_KEY, OUTPUT, PLATFORM, open_store
-from whinrack.cli._output import show, unwrap
+from whinrack.cli._options import FLEET_KEY_OPTION, OUTPUT_OPTION, PLATFORM_OPTION, open_store
+from whinrack.cli._output import print_result, value_or_exit
 from whinrack.objects import Declaration, Target, TargetState
 from whinrack.operators import Change, ChangeKind, RouterRow, apply_change, read_fleet_status
 
@@ -12,33 +12,33 @@
 
 
 @click.command()
-@PLATFORM
-@FLEET_KEY
-@OUTPUT
+@PLATFORM_OPTION
+@FLEET_KEY_OPTION
+@OUTPUT_OPTION
 def status(platform: str, fleet_key: str, output: str) -> None:
     """Show each router: versions in force, leaving targets, tokens held."""
-    rows = unwrap(read_fleet_status(open_store(platform), fleet_key))
+    rows = value_or_exit(read_fleet_status(open_store(platform), fleet_key))
     lines = []
     for row in rows:
         if row.status is None:
             lines.append(f"{row.name} {row.address} {row.listed_as}: no answer")
             continue
         state = row.status
-        held = sum(grant.spendable + grant.open_cover for grant in state.grants)
+        held_tokens = sum(grant.spendable + grant.open_cover for grant in state.grants)
         lines.append(
             f"{row.name} {row.address} {'leaving' if state.leaving else 'serving'} "
             f"newest={state.newest} in_progress={state.requests_in_progress} "
-            f"tokens_held={held} leaving_targets={','.join(state.leaving_targets) or '-'}"
+            f"tokens_held={held_tokens} leaving_targets={','.join(state.leaving_targets) or '-'}"
         )
-    reached = [row.status.newest for row in rows if row.status is not None]
-    if reached:
-        lines.append(f"in force everywhere: {min(reached)}" + _behind(rows))
-    show(rows, output, "\n".join(lines))
+    newest_versions = [row.status.newest for row in rows if row.status is not None]
+    if newest_versions:
+        lines.append(f"in force everywhere: {min(newest_versions)}" + _unreachable_note(rows))
+    print_result(rows, output, "\n".join(lines))
 
 
-def _behind(rows: list[RouterRow]) -> str:
-    silent = [row.name for row in rows if row.status is None]
-    return f" (not heard: {', '.join(silent)})" if silent else ""
+def _unreachable_note(rows: list[RouterRow]) -> str:
+    unreachable = [row.name for row in rows if row.status is None]
+    return f" (not heard: {', '.join(unreachable)})" if unreachable else ""
 
 
 @click.group()
@@ -48,11 +48,11 @@
 
 @instance.command("drain")
 @click.argument("name")
-@PLATFORM
+@PLATFORM_OPTION
 def instance_drain(name: str, platform: str) -> None:
     """Mark every target on instance NAME as leaving: no new work, work in progress ends."""
     store = open_store(platform)
-    snapshot = unwrap(store.list(("Target",)))
+    snapshot = value_or_exit(store.list(("Target",)))
     drained = 0
     for item in snapshot.objects:
         spec = msgspec.json.decode(item.value, type=Target)
@@ -60,6 +60,6 @@
             continue
         leaving = msgspec.structs.replace(spec, state=TargetState.LEAVING)
         declaration = Declaration("Target", item.name, leaving)
-        unwrap(apply_change(store, Change(ChangeKind.UPDATE, declaration, item.version)))
+        value_or_exit(apply_change(store, Change(ChangeKind.UPDATE, declaration, item.version)))
         drained += 1
     click.echo(f"{drained} targets on {name} are leaving")
--- a/whinrack/cli/_local.py
+++ b/whinrack/cli/_local.py
@@ -7,8 +7,8 @@
 import click
 import msgspec
 
-from whinrack.cli._options import OUTPUT
-from whinrack.cli._output import fail, show, unwrap
+from whinrack.cli._options import OUTPUT_OPTION
+from whinrack.cli._output import exit_with_error, print_result, value_or_exit
 from whinrack.exceptions import InvalidObject, WhinrackError
 from whinrack.objects import RequestClass
 from whinrack.routing import PoolFacts, RequestFacts, RoutingProgram
@@ -26,39 +26,39 @@
 @click.argument("program", type=click.Path(exists=True, dir_okay=False, path_type=Path))
 def policy_check(program: Path) -> None:
     """Compile a PROGRAM file and say whether it is in order."""
-    _compile(program)
+    _compile_program(program)
     click.echo("in order")
 
 
 @policy.command("try")
 @click.argument("program", type=click.Path(exists=True, dir_okay=False, path_type=Path))
 @click.argument("request", type=click.Path(exists=True, dir_okay=False, path_type=Path))
-@OUTPUT
+@OUTPUT_OPTION
 def policy_try(program: Path, request: Path, output: str) -> None:
     """Run a PROGRAM file for a sample REQUEST, a TOML file, outside the fleet.
 
     \b
     The file holds a table `request` and one table `pools.NAME` for each pool.
     """
-    compiled = _compile(program)
+    compiled = _compile_program(program)
     try:
         sample = tomllib.loads(request.read_text())
         pools = msgspec.convert(sample.get("pools", {}), dict[str, PoolFacts])
-        plain = {"workspace": "sample", "request_class": RequestClass.INTERACTIVE}
-        plain |= sample.get("request", {})
-        facts = msgspec.convert(plain, RequestFacts)
+        request_values = {"workspace": "sample", "request_class": RequestClass.INTERACTIVE}
+        request_values |= sample.get("request", {})
+        facts = msgspec.convert(request_values, RequestFacts)
     except (tomllib.TOMLDecodeError, msgspec.ValidationError) as error:
-        fail(InvalidObject(f"{request.name}: {error}"))
-    decision = unwrap(compiled.decide(facts, pools))
+        exit_with_error(InvalidObject(f"{request.name}: {error}"))
+    decision = value_or_exit(compiled.decide(facts, pools))
     text = "\n".join(f"{name}: {getattr(decision, name)}" for name in decision.__struct_fields__)
-    show(decision, output, text)
+    print_result(decision, output, text)
 
 
-def _compile(path: Path) -> RoutingProgram:
+def _compile_program(path: Path) -> RoutingProgram:
     try:
         return RoutingProgram(path.read_text())
     except WhinrackError as error:
-        fail(error)
+        exit_with_error(error)
 
 
 @click.group()
@@ -70,7 +70,7 @@
 @click.argument("file", type=click.Path(exists=True, dir_okay=False, path_type=Path))
 def settings_check(file: Path) -> None:
     """Check every key of a settings FILE."""
-    _load(file)
+    _load_settings_file(file)
     click.echo("in order")
 
 
@@ -88,14 +88,14 @@
 )
 def router_run(file: Path) -> None:
     """Run one router until SIGTERM, which is a planned stop."""
-    loaded = _load(file)
+    loaded = _load_settings_file(file)
     from whinrack.server import RouterDaemon
 
     sys.exit(RouterDaemon(loaded).run())
 
 
-def _load(file: Path) -> Settings:
+def _load_settings_file(file: Path) -> Settings:
     try:
         return load_settings(file)
     except WhinrackError as error:
-        fail(error)
+        exit_with_error(error)
--- a/whinrack/cli/_options.py
+++ b/whinrack/cli/_options.py
@@ -4,23 +4,23 @@
 
 from whinrack.store import HttpObjectStore, ObjectStore
 
-__all__ = ["FLEET_KEY", "OUTPUT", "PLATFORM", "open_store"]
+__all__ = ["FLEET_KEY_OPTION", "OUTPUT_OPTION", "PLATFORM_OPTION", "open_store"]
 
-_RATE = 200.0
-_TIMEOUT = 5.0
-_LONGEST_WAIT = 60.0
+_CALLS_PER_SECOND = 200.0
+_TIMEOUT_SECONDS = 5.0
+_MAX_WAIT_SECONDS = 60.0
 
-OUTPUT = click.option(
+OUTPUT_OPTION = click.option(
     "--output", type=click.Choice(["text", "json"]), default="text", help="Form of the output."
 )
-PLATFORM = click.option(
+PLATFORM_OPTION = click.option(
     "--platform",
     envvar="WHINRACK_PLATFORM",
     required=True,
     metavar="HOST:PORT",
     help="The platform's object API; or set WHINRACK_PLATFORM.",
 )
-FLEET_KEY = click.option(
+FLEET_KEY_OPTION = click.option(
     "--fleet-key",
     envvar="WHINRACK_FLEET_KEY",
     required=True,
@@ -30,4 +30,6 @@
 
 def open_store(address: str) -> ObjectStore:
     """Return the platform's object API for one command."""
-    return HttpObjectStore(address, timeout=_TIMEOUT, rate=_RATE, max_wait=_LONGEST_WAIT)
+    return HttpObjectStore(
+        address, timeout=_TIMEOUT_SECONDS, rate=_CALLS_PER_SECOND, max_wait=_MAX_WAIT_SECONDS
+    )
--- a/whinrack/cli/_output.py
+++ b/whinrack/cli/_output.py
@@ -19,7 +19,7 @@
     WriteUnknown,
 )
 
-__all__ = ["EXIT_CODES", "fail", "show", "unwrap"]
+__all__ = ["EXIT_CODES", "exit_with_error", "print_result", "value_or_exit"]
 
 # Documented in docs/operators.md; 2 is click's own for wrong usage.
 EXIT_CODES: dict[type[WhinrackError], int] = {
@@ -35,22 +35,22 @@
 }
 
 
-def fail(error: WhinrackError) -> NoReturn:
+def exit_with_error(error: WhinrackError) -> NoReturn:
     """Show a failure and end with its exit code."""
     click.echo(f"{error.code}: {error.message}", err=True)
     sys.exit(EXIT_CODES.get(type(error), 1))
 
 
-def unwrap(result: Result):
+def value_or_exit(result: Result):
     """Return a result's value, or show its failure and end."""
     if isinstance(result, Failure):
-        fail(result.failure())
+        exit_with_error(result.failure())
     return result.unwrap()
 
 
-def show(value: object, output: str, text: str) -> None:
+def print_result(value: object, output_format: str, text: str) -> None:
     """Print a value as JSON, or its text form."""
-    if output == "json":
+    if output_format == "json":
         click.echo(msgspec.json.format(msgspec.json.encode(value), indent=2).decode())
     else:
         click.echo(text)
--- a/whinrack/cli/_quarantine.py
+++ b/whinrack/cli/_quarantine.py
@@ -5,17 +5,17 @@
 import urllib3
 from returns.result import Failure, Result, Success
 
-from whinrack.cli._options import OUTPUT
-from whinrack.cli._output import show, unwrap
+from whinrack.cli._options import OUTPUT_OPTION
+from whinrack.cli._output import print_result, value_or_exit
 from whinrack.exceptions import NotFound, PeerUnavailable, WhinrackError
 from whinrack.quarantine import QuarantinedRequest
 
 __all__ = ["quarantine"]
 
-_SECONDS = 5.0
+_TIMEOUT_SECONDS = 5.0
 _OK = 200
 
-_METRICS = click.option(
+_METRICS_OPTION = click.option(
     "--metrics",
     envvar="WHINRACK_METRICS",
     required=True,
@@ -30,32 +30,34 @@
 
 
 @quarantine.command("list")
-@_METRICS
-@OUTPUT
+@_METRICS_OPTION
+@OUTPUT_OPTION
 def quarantine_list(metrics: str, output: str) -> None:
     """Show each request that is kept out: whose it is, its route, the targets that ended."""
-    data = unwrap(_ask("GET", metrics, "/quarantine"))
+    data = value_or_exit(_request("GET", metrics, "/quarantine"))
     rows = msgspec.json.decode(data, type=list[QuarantinedRequest])
     lines = [
         f"{row.fingerprint} workspace={row.workspace or '-'} route={row.route} "
         f"trials={row.trials} ended={','.join(row.targets)}"
         for row in rows
     ]
-    show(rows, output, "\n".join(lines) or "none")
+    print_result(rows, output, "\n".join(lines) or "none")
 
 
 @quarantine.command("lift")
 @click.argument("fingerprint")
-@_METRICS
+@_METRICS_OPTION
 def quarantine_lift(fingerprint: str, metrics: str) -> None:
     """Let requests with FINGERPRINT go to targets again, in the whole fleet."""
-    unwrap(_ask("DELETE", metrics, f"/quarantine/{fingerprint}"))
+    value_or_exit(_request("DELETE", metrics, f"/quarantine/{fingerprint}"))
     click.echo("lifted")
 
 
-def _ask(method: str, address: str, path: str) -> Result[bytes, WhinrackError]:
+def _request(method: str, address: str, path: str) -> Result[bytes, WhinrackError]:
     try:
-        reply = urllib3.request(method, f"http://{address}{path}", timeout=_SECONDS, retries=False)
+        reply = urllib3.request(
+            method, f"http://{address}{path}", timeout=_TIMEOUT_SECONDS, retries=False
+        )
     except urllib3.exceptions.HTTPError as error:
         return Failure(PeerUnavailable(f"{address} doesn't answer: {error}"))
     if reply.status != _OK:
--- a/whinrack/cli/tests/test_quarantine.py
+++ b/whinrack/cli/tests/test_quarantine.py
@@ -9,15 +9,15 @@
 from whinrack.quarantine import Quarantine, QuarantineHost, RequestSignature, TargetEnd
 
 
-class Host(QuarantineHost):
+class RecordingHost(QuarantineHost):
     def __init__(self):
-        self.told = []
+        self.sent_cases = []
 
     def send_to_owners(self, case):
         pass
 
     def send_to_all(self, cases):
-        self.told += cases
+        self.sent_cases += cases
 
     def reaches_store(self):
         return False
@@ -26,12 +26,12 @@
         pass
 
 
-class MetricsEndpoint:
+class StubMetricsEndpoint:
     def handle_metrics(self, exchange):
         exchange.respond(200, [], b"figures")
 
 
-class Sink:
+class RecordingWriter:
     """Keeps the answer."""
 
     def send_response(self, status, headers, body):
@@ -40,44 +40,44 @@
 
 @pytest.fixture
 def quarantine():
-    quarantine = Quarantine(None, Host(), lambda: 100.0)
+    quarantine = Quarantine(None, RecordingHost(), lambda: 100.0)
     for target in "abc":
         quarantine.record_target_end(TargetEnd(target, 7), [RequestSignature("0f", "w", "r")])
     return quarantine
 
 
 @pytest.fixture
-def ask(quarantine):
-    answers = OperatorEndpoints(MetricsEndpoint(), quarantine)
+def request_endpoint(quarantine):
+    endpoints = OperatorEndpoints(StubMetricsEndpoint(), quarantine)
 
-    def ask(method, path):
-        sink = Sink()
-        answers.handle(Exchange(sink, RequestHead(method, path, []), b""))
-        return sink.status, sink.body
+    def request_endpoint(method, path):
+        writer = RecordingWriter()
+        endpoints.handle(Exchange(writer, RequestHead(method, path, []), b""))
+        return writer.status, writer.body
 
-    return ask
+    return request_endpoint
 
 
-def test_the_list_names_request_caller_and_targets(ask):
-    assert ask(b"GET", b"/quarantine") == (
+def test_list_contains_request_workspace_and_targets(request_endpoint):
+    assert request_endpoint(b"GET", b"/quarantine") == (
         200,
         b'[{"fingerprint":"0f","workspace":"w","route":"r","targets":["a@7","b@7","c@7"],'
         b'"ended_at":100.0,"trials":0}]',
     )
 
 
-def test_lifting_lets_it_through_and_tells_all(ask, quarantine):
-    assert ask(b"DELETE", b"/quarantine/0f")[0] == 200
+def test_delete_lifts_quarantine_and_notifies_all_instances(request_endpoint, quarantine):
+    assert request_endpoint(b"DELETE", b"/quarantine/0f")[0] == 200
     assert quarantine.quarantined_cases() == []
-    assert quarantine.host.told[-1].epoch == 1
-    assert ask(b"DELETE", b"/quarantine/0f")[0] == 404
+    assert quarantine.host.sent_cases[-1].epoch == 1
+    assert request_endpoint(b"DELETE", b"/quarantine/0f")[0] == 404
 
 
-def test_other_paths_show_the_figures(ask):
-    assert ask(b"GET", b"/metrics") == (200, b"figures")
+def test_other_paths_go_to_the_metrics_endpoint(request_endpoint):
+    assert request_endpoint(b"GET", b"/metrics") == (200, b"figures")
 
 
-def test_the_command_line_says_when_nobody_answers():
+def test_command_reports_unreachable_instance():
     result = CliRunner().invoke(main, ["quarantine", "list", "--metrics", "127.0.0.1:1"])
     assert result.exit_code == 1
     assert "peer_unavailable" in result.output
--- a/whinrack/clock.py
+++ b/whinrack/clock.py
@@ -11,7 +11,7 @@
 # Where the system has no such clock the usual steady one is the nearest.
 _CLOCK = getattr(time, "CLOCK_BOOTTIME", time.CLOCK_MONOTONIC)
 # What the two clocks may differ by between two readings, seconds.
-_NOISE_SECONDS = 0.05
+_MIN_SUSPENDED_SECONDS = 0.05
 
 
 def steady() -> float:
@@ -31,13 +31,13 @@
     """Notices that the machine was suspended, by the step between the two clocks."""
 
     def __init__(self):
-        self._offset = self._read()
+        self._offset = self._read_offset()
 
     def take_suspended_seconds(self) -> float:
         """Return for how many seconds the machine was suspended since the last call."""
-        before, self._offset = self._offset, self._read()
+        before, self._offset = self._offset, self._read_offset()
         step = self._offset - before
-        return step if step > _NOISE_SECONDS else 0.0
+        return step if step > _MIN_SUSPENDED_SECONDS else 0.0
 
-    def _read(self) -> float:
+    def _read_offset(self) -> float:
         return steady() - time.clock_gettime(time.CLOCK_MONOTONIC)
--- a/whinrack/observability/_events.py
+++ b/whinrack/observability/_events.py
@@ -110,25 +110,27 @@
 
 def log_event(event: Event, **fields: object) -> None:
     """Log an event with its fields."""
-    bound = logger.bind(event=event, fields={key: str(value) for key, value in fields.items()})
-    bound.log(event.level, event.text)
+    bound_logger = logger.bind(
+        event=event, fields={key: str(value) for key, value in fields.items()}
+    )
+    bound_logger.log(event.level, event.text)
 
 
 def configure_logging(level: str, json_lines: bool, sink: TextIO | None = None) -> None:
     """Send logs as text or JSON lines to a sink, by default standard error."""
     logger.remove()
-    logger.add(sink or sys.stderr, level=level, format=_json_line if json_lines else _text_line)
+    logger.add(sink or sys.stderr, level=level, format=_format_json if json_lines else _format_text)
 
 
-def _text_line(record) -> str:
+def _format_text(record) -> str:
     event, fields = record["extra"].get("event"), record["extra"].get("fields", {})
     number = event.number if event else 0
-    shown = " ".join(f"{key}={value}" for key, value in fields.items())
-    record["extra"]["line"] = f"W{number} {record['message']} {shown}".rstrip()
+    field_text = " ".join(f"{key}={value}" for key, value in fields.items())
+    record["extra"]["line"] = f"W{number} {record['message']} {field_text}".rstrip()
     return "{time:YYYY-MM-DDTHH:mm:ss.SSS!UTC}Z {level} {extra[line]}\n"
 
 
-def _json_line(record) -> str:
+def _format_json(record) -> str:
     event, fields = record["extra"].get("event"), record["extra"].get("fields", {})
     line = LogLine(
         time=record["time"].isoformat(),
--- a/whinrack/observability/_metrics.py
+++ b/whinrack/observability/_metrics.py
@@ -5,7 +5,7 @@
 
 __all__ = ["Metrics"]
 
-_LATENCY = (0.001, 0.0025, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1, 2, 5, 10, 30, 60)
+_LATENCY_BUCKETS = (0.001, 0.0025, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1, 2, 5, 10, 30, 60)
 
 
 class Metrics:
@@ -89,11 +89,17 @@
         """Return the text form that Prometheus reads."""
         return generate_latest(self.registry)
 
-    def _counter(self, name: str, text: str, *labels: str) -> Counter:
-        return Counter(f"whinrack_{name}", text, labels, registry=self.registry)
+    def _counter(self, name: str, description: str, *labels: str) -> Counter:
+        return Counter(f"whinrack_{name}", description, labels, registry=self.registry)
 
-    def _gauge(self, name: str, text: str) -> Gauge:
-        return Gauge(f"whinrack_{name}", text, registry=self.registry)
+    def _gauge(self, name: str, description: str) -> Gauge:
+        return Gauge(f"whinrack_{name}", description, registry=self.registry)
 
-    def _histogram(self, name: str, text: str, *labels: str) -> Histogram:
-        return Histogram(f"whinrack_{name}", text, labels, registry=self.registry, buckets=_LATENCY)
+    def _histogram(self, name: str, description: str, *labels: str) -> Histogram:
+        return Histogram(
+            f"whinrack_{name}",
+            description,
+            labels,
+            registry=self.registry,
+            buckets=_LATENCY_BUCKETS,
+        )
--- a/whinrack/observability/_output.py
+++ b/whinrack/observability/_output.py
@@ -7,7 +7,7 @@
 
 __all__ = ["BoundedLogWriter"]
 
-_MOST_WAITING = 2000
+_MAX_QUEUED_LINES = 2000
 
 
 class BoundedLogWriter:
@@ -30,40 +30,40 @@
         self.descriptor = descriptor
         self.lines_per_second = lines_per_second
         self.dropped_lines = 0
-        self._lines: deque[bytes] = deque()
-        self._rest = b""
-        self._saved = lines_per_second
-        self._at = steady()
+        self._queued_lines: deque[bytes] = deque()
+        self._unwritten = b""
+        self._permits = lines_per_second
+        self._refilled_at = steady()
         os.set_blocking(descriptor, False)
 
     def write(self, text: str) -> None:
         """Take a line; never blocks."""
-        if not self._permit() or len(self._lines) >= _MOST_WAITING:
+        if not self._take_permit() or len(self._queued_lines) >= _MAX_QUEUED_LINES:
             self.dropped_lines += 1
             return
-        self._lines.append(text.encode("utf-8", "backslashreplace"))
+        self._queued_lines.append(text.encode("utf-8", "backslashreplace"))
 
     def write_pending(self) -> None:
         """Write what the pipe takes now."""
-        while self._rest or self._lines:
-            if not self._rest:
-                self._rest = b"".join(self._lines)
-                self._lines.clear()
+        while self._unwritten or self._queued_lines:
+            if not self._unwritten:
+                self._unwritten = b"".join(self._queued_lines)
+                self._queued_lines.clear()
             try:
-                written = os.write(self.descriptor, self._rest)
+                written = os.write(self.descriptor, self._unwritten)
             except OSError:
                 return
-            self._rest = self._rest[written:]
+            self._unwritten = self._unwritten[written:]
 
     def flush(self) -> None:
         """Nothing is held back on purpose."""
 
-    def _permit(self) -> bool:
+    def _take_permit(self) -> bool:
         now = steady()
-        earned = (now - self._at) * self.lines_per_second
-        self._saved = min(self.lines_per_second, self._saved + earned)
-        self._at = now
-        if self._saved < 1.0:
+        refill = (now - self._refilled_at) * self.lines_per_second
+        self._permits = min(self.lines_per_second, self._permits + refill)
+        self._refilled_at = now
+        if self._permits < 1.0:
             return False
-        self._saved -= 1.0
+        self._permits -= 1.0
         return True
--- a/whinrack/operators/_accounts.py
+++ b/whinrack/operators/_accounts.py
@@ -51,7 +51,7 @@
 
 def read_budget_balance(store: ObjectStore, name: str) -> Result[BudgetBalance, WhinrackError]:
     """Read a budget's books."""
-    account = _account_of(store, name)
+    account = _find_account(store, name)
     if isinstance(account, Failure):
         return account
     value = ObjectEditor(store, ACCOUNT_KIND, BudgetAccount).read(account.unwrap())
@@ -59,33 +59,37 @@
         return value
     entry = value.unwrap().budgets.get(name, BudgetEntry())
     listed = store.instances().value_or(())
-    return Success(_books(name, account.unwrap(), entry, listed))
+    return Success(_make_balance(name, account.unwrap(), entry, listed))
 
 
 def top_up(
-    store: ObjectStore, name: str, payment: str, tokens: int
+    store: ObjectStore, name: str, payment_id: str, tokens: int
 ) -> Result[BudgetEntry, WhinrackError]:
     """Pay into a budget, once for each payment id."""
-    return _edit(store, name, lambda account: apply_topups(account, name, {payment: tokens}))
+    return _update_account(
+        store, name, lambda account: apply_topups(account, name, {payment_id: tokens})
+    )
 
 
 def release_grant(
-    store: ObjectStore, name: str, holder: str, served: int | None
+    store: ObjectStore, name: str, holder: str, spent_tokens: int | None
 ) -> Result[BudgetEntry, WhinrackError]:
     """Release what an incarnation that is gone for good holds of a budget."""
-    return _edit(store, name, lambda account: release_holder(account, name, holder, served))
+    return _update_account(
+        store, name, lambda account: release_holder(account, name, holder, spent_tokens)
+    )
 
 
 def read_bills(store: ObjectStore) -> Result[dict[str, WorkspaceBill], PlatformFailure]:
     """Read all journals and add them up to one bill a workspace."""
     snapshot = store.list((JOURNAL_KIND,))
     return snapshot.map(
-        lambda found: merge_bills(decode_segment(item.value) for item in found.objects)
+        lambda stored: merge_bills(decode_segment(item.value) for item in stored.objects)
     )
 
 
-def _edit(store: ObjectStore, name: str, change) -> Result[BudgetEntry, WhinrackError]:
-    account = _account_of(store, name)
+def _update_account(store: ObjectStore, name: str, change) -> Result[BudgetEntry, WhinrackError]:
+    account = _find_account(store, name)
     if isinstance(account, Failure):
         return account
     editor = ObjectEditor(store, ACCOUNT_KIND, BudgetAccount)
@@ -96,17 +100,17 @@
     return Success(value.budgets.get(name, BudgetEntry()) if value else BudgetEntry())
 
 
-def _account_of(store: ObjectStore, name: str) -> Result[str, WhinrackError]:
-    found = store.get("Budget", name)
-    if isinstance(found, Failure):
-        failure = found.failure()
+def _find_account(store: ObjectStore, name: str) -> Result[str, WhinrackError]:
+    stored = store.get("Budget", name)
+    if isinstance(stored, Failure):
+        failure = stored.failure()
         if isinstance(failure, NotFound):
             return Failure(NotFound(f"no budget is named {name!r}"))
-        return found
-    return Success(msgspec.json.decode(found.unwrap().value, type=Budget).account)
+        return stored
+    return Success(msgspec.json.decode(stored.unwrap().value, type=Budget).account)
 
 
-def _books(
+def _make_balance(
     name: str, account: str, entry: BudgetEntry, listed: tuple[InstanceRecord, ...]
 ) -> BudgetBalance:
     names = {record.name for record in listed}
--- a/whinrack/operators/_apply.py
+++ b/whinrack/operators/_apply.py
@@ -27,8 +27,8 @@
     "read_declared_objects",
 ]
 
-_ORDER = ("RoutingPolicy", "Workspace", "TargetPool", "Budget", "Target", "ApiKey")
-_ACCOUNTS = 64
+_WRITE_ORDER = ("RoutingPolicy", "Workspace", "TargetPool", "Budget", "Target", "ApiKey")
+_ACCOUNT_COUNT = 64
 _MISSING = "(none)"
 
 
@@ -77,14 +77,14 @@
         For a reference to an object that neither is declared nor stored.
     """
     stored = {(item.kind, item.name): item for item in snapshot.objects}
-    merged = {key: _spec(item) for key, item in stored.items()}
+    specs = {key: _decode_stored(item) for key, item in stored.items()}
     changes = []
-    for declaration in sorted(declarations, key=_write_order):
+    for declaration in sorted(declarations, key=_write_order_key):
         key = (declaration.kind, declaration.name)
-        change = _plan(declaration, stored.get(key))
-        merged[key] = change.declaration.spec
+        change = _plan_change(declaration, stored.get(key))
+        specs[key] = change.declaration.spec
         changes.append(change)
-    check_references(merged)
+    check_references(specs)
     return changes
 
 
@@ -97,14 +97,14 @@
     declaration = change.declaration
     version: Result[int, WhinrackError] = Success(change.version)
     if change.kind is not ChangeKind.UNCHANGED:
-        version = _write(store, change)
+        version = _write_object(store, change)
     if isinstance(version, Failure) or not isinstance(declaration.spec, Budget):
         return version
-    paid = _pay_in(store, declaration.name, declaration.spec)
-    return version if not isinstance(paid, Failure) else Failure(paid.failure())
+    topup_result = _apply_declared_topups(store, declaration.name, declaration.spec)
+    return version if not isinstance(topup_result, Failure) else Failure(topup_result.failure())
 
 
-def _write(store: ObjectStore, change: Change) -> Result[int, WhinrackError]:
+def _write_object(store: ObjectStore, change: Change) -> Result[int, WhinrackError]:
     declaration = change.declaration
     value = msgspec.json.encode(declaration.spec)
     result = store.put(declaration.kind, declaration.name, value, change.version)
@@ -112,30 +112,31 @@
         return Success(result.unwrap().version)
     failure = result.failure()
     if not isinstance(failure, WriteUnknown):
-        return Failure(_explained(failure, change))
+        return Failure(_describe_conflict(failure, change))
     found = store.get(declaration.kind, declaration.name)
-    if isinstance(found, Success) and _spec(found.unwrap()) == declaration.spec:
+    if isinstance(found, Success) and _decode_stored(found.unwrap()) == declaration.spec:
         return Success(found.unwrap().version)
     return Failure(failure)
 
 
-def _explained(failure: PlatformFailure, change: Change) -> WhinrackError:
+def _describe_conflict(failure: PlatformFailure, change: Change) -> WhinrackError:
     """Show both sides of a raced change."""
     if not isinstance(failure, Conflict):
         return failure
     name = f"{change.declaration.kind}/{change.declaration.name}"
     declared = msgspec.json.encode(change.declaration.spec).decode()
     current = failure.current
-    theirs = _MISSING if current is None else bytes(current.value).decode()
-    at = 0 if current is None else current.version
+    stored = _MISSING if current is None else bytes(current.value).decode()
+    current_version = 0 if current is None else current.version
     message = (
-        f"{name} was changed meanwhile: read at version {change.version}, now at {at}\n"
-        f"  stored:   {theirs}\n  declared: {declared}"
+        f"{name} was changed meanwhile: read at version {change.version}, "
+        f"now at {current_version}\n"
+        f"  stored:   {stored}\n  declared: {declared}"
     )
     return Conflict(message, current)
 
 
-def _pay_in(
+def _apply_declared_topups(
     store: ObjectStore, name: str, budget: Budget
 ) -> Result[BudgetAccount, PlatformFailure]:
     editor = ObjectEditor(store, ACCOUNT_KIND, BudgetAccount)
@@ -143,12 +144,12 @@
     return editor.apply(budget.account, lambda account: apply_topups(account, name, topups))
 
 
-def _plan(declaration: Declaration, stored: StoredObject | None) -> Change:
+def _plan_change(declaration: Declaration, stored: StoredObject | None) -> Change:
     if stored is None:
         return Change(ChangeKind.CREATE, _with_account(declaration, None), 0)
-    before = _spec(stored)
-    declaration = _with_account(declaration, before)
-    old, new = msgspec.to_builtins(before), msgspec.to_builtins(declaration.spec)
+    stored_spec = _decode_stored(stored)
+    declaration = _with_account(declaration, stored_spec)
+    old, new = msgspec.to_builtins(stored_spec), msgspec.to_builtins(declaration.spec)
     fields = tuple(
         FieldDiff(field, old.get(field), new.get(field))
         for field in new
@@ -166,13 +167,13 @@
     if isinstance(stored, Budget):
         account = stored.account
     else:
-        account = account_name(declaration.name, _ACCOUNTS)
+        account = account_name(declaration.name, _ACCOUNT_COUNT)
     return msgspec.structs.replace(declaration, spec=msgspec.structs.replace(spec, account=account))
 
 
-def _spec(stored: StoredObject) -> Spec:
+def _decode_stored(stored: StoredObject) -> Spec:
     return decode_spec(stored.kind, stored.name, msgspec.json.decode(stored.value))
 
 
-def _write_order(declaration: Declaration) -> tuple[int, str]:
-    return (_ORDER.index(declaration.kind), declaration.name)
+def _write_order_key(declaration: Declaration) -> tuple[int, str]:
+    return (_WRITE_ORDER.index(declaration.kind), declaration.name)
--- a/whinrack/operators/_fleet.py
+++ b/whinrack/operators/_fleet.py
@@ -10,7 +10,7 @@
 
 __all__ = ["RouterRow", "read_fleet_status"]
 
-_TIMEOUT = 2.0
+_TIMEOUT_SECONDS = 2.0
 
 
 class RouterRow(msgspec.Struct, frozen=True):
@@ -29,21 +29,21 @@
         return listed
     http = urllib3.PoolManager(retries=False)
     routers = [record for record in listed.unwrap() if record.role == "router"]
-    return Success([_row(http, record, fleet_key) for record in routers])
+    return Success([_read_row(http, record, fleet_key) for record in routers])
 
 
-def _row(http, record: InstanceRecord, fleet_key: str) -> RouterRow:
-    status = _ask(http, record.http_address, fleet_key)
+def _read_row(http, record: InstanceRecord, fleet_key: str) -> RouterRow:
+    status = _request_status(http, record.http_address, fleet_key)
     return RouterRow(record.name, record.http_address, str(record.state), status.value_or(None))
 
 
-def _ask(http, address: str, fleet_key: str) -> Result[RouterStatus, PeerUnavailable]:
+def _request_status(http, address: str, fleet_key: str) -> Result[RouterStatus, PeerUnavailable]:
     try:
         reply = http.request(
             "GET",
             f"http://{address}/v1/status",
             headers={FLEET_KEY_HEADER: fleet_key},
-            timeout=_TIMEOUT,
+            timeout=_TIMEOUT_SECONDS,
         )
     except urllib3.exceptions.HTTPError as error:
         return Failure(PeerUnavailable(str(error)))
--- a/whinrack/settings/_settings.py
+++ b/whinrack/settings/_settings.py
@@ -12,22 +12,22 @@
 
 __all__ = ["Settings", "load_settings", "parse_settings", "render_settings_reference"]
 
-_ADDRESS = r"^\d{1,3}(\.\d{1,3}){3}:\d{1,5}$"
-_NAME = r"^[a-z0-9]([a-z0-9-]{0,40}[a-z0-9])?$"
+_ADDRESS_PATTERN = r"^\d{1,3}(\.\d{1,3}){3}:\d{1,5}$"
+_NAME_PATTERN = r"^[a-z0-9]([a-z0-9-]{0,40}[a-z0-9])?$"
 
-Name = Annotated[str, Meta(pattern=_NAME, description="1 to 42 of a-z, 0-9 and '-'")]
-Address = Annotated[str, Meta(pattern=_ADDRESS, description="an IPv4 address and port")]
+Name = Annotated[str, Meta(pattern=_NAME_PATTERN, description="1 to 42 of a-z, 0-9 and '-'")]
+Address = Annotated[str, Meta(pattern=_ADDRESS_PATTERN, description="an IPv4 address and port")]
 Text = Annotated[str, Meta(description="text")]
-Key = Annotated[str, Meta(min_length=16, max_length=200, description="16 to 200 characters")]
-Choice = Annotated[str, Meta(pattern="^(text|json)$", description="text or json")]
-Level = Annotated[
+FleetKey = Annotated[str, Meta(min_length=16, max_length=200, description="16 to 200 characters")]
+LogFormat = Annotated[str, Meta(pattern="^(text|json)$", description="text or json")]
+LogLevel = Annotated[
     str, Meta(pattern="^(DEBUG|INFO|WARNING|ERROR)$", description="DEBUG, INFO, WARNING or ERROR")
 ]
-Seconds = Annotated[float, Meta(gt=0, le=3600, description="above 0 to 3600 seconds")]
-SecondsOrNone = Annotated[float, Meta(ge=0, le=3600, description="0 to 3600 seconds")]
+PositiveSeconds = Annotated[float, Meta(gt=0, le=3600, description="above 0 to 3600 seconds")]
+NonNegativeSeconds = Annotated[float, Meta(ge=0, le=3600, description="0 to 3600 seconds")]
 Rate = Annotated[float, Meta(gt=0, le=10_000, description="above 0 to 10000 a second")]
 Count = Annotated[int, Meta(ge=1, le=10_000_000, description="1 to 10000000")]
-Size = Annotated[int, Meta(ge=1024, le=1_000_000_000, description="1024 to 1000000000 bytes")]
+ByteCount = Annotated[int, Meta(ge=1024, le=1_000_000_000, description="1024 to 1000000000 bytes")]
 
 
 class InstanceSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
@@ -42,11 +42,11 @@
     """The side towards callers."""
 
     address: Address
-    body_limit: Size = 1_000_000
-    header_timeout: Seconds = 10.0
-    body_timeout: Seconds = 10.0
+    body_limit: ByteCount = 1_000_000
+    header_timeout: PositiveSeconds = 10.0
+    body_timeout: PositiveSeconds = 10.0
     connections: Count = 20_000
-    entry_seconds: Seconds = 30.0
+    entry_seconds: PositiveSeconds = 30.0
     busy_requests: Count = 400
 
 
@@ -54,9 +54,9 @@
     """The side towards the other daemons."""
 
     address: Address
-    fleet_key: Key
+    fleet_key: FleetKey
     seeds: Text = ""
-    timeout: Seconds = 1.0
+    timeout: PositiveSeconds = 1.0
     certificate: Text = ""
     private_key: Text = ""
     authority: Text = ""
@@ -66,17 +66,17 @@
     """The platform's object API."""
 
     address: Address
-    timeout: Seconds = 2.0
+    timeout: PositiveSeconds = 2.0
     calls_per_second: Rate = 50.0
-    watch_wait: Seconds = 20.0
+    watch_wait: PositiveSeconds = 20.0
 
 
 class MembershipSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """Heartbeats and the instance list."""
 
-    heartbeat_interval: Seconds = 1.0
-    suspect_after: Seconds = 3.5
-    list_interval: Seconds = 2.0
+    heartbeat_interval: PositiveSeconds = 1.0
+    suspect_after: PositiveSeconds = 3.5
+    list_interval: PositiveSeconds = 2.0
     watchers_per_hall: Count = 2
     full_mesh_limit: Count = 16
 
@@ -84,40 +84,40 @@
 class BudgetSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """Grants."""
 
-    horizon: SecondsOrNone = 600.0
-    check_interval: Seconds = 2.0
-    report_after: SecondsOrNone = 10.0
-    gather_wait: SecondsOrNone = 1.0
+    horizon: NonNegativeSeconds = 600.0
+    check_interval: PositiveSeconds = 2.0
+    report_after: NonNegativeSeconds = 10.0
+    gather_wait: NonNegativeSeconds = 1.0
 
 
 class JournalSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """Bills."""
 
-    commit_interval: Seconds = 0.05
-    answer_wait: SecondsOrNone = 1.0
+    commit_interval: PositiveSeconds = 0.05
+    answer_wait: NonNegativeSeconds = 1.0
 
 
 class RequestSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """Request memory."""
 
-    remember: Seconds = 600.0
+    remember: PositiveSeconds = 600.0
     entries: Count = 20_000
-    answer_limit: Size = 262_144
-    join_grace: SecondsOrNone = 2.0
+    answer_limit: ByteCount = 262_144
+    join_grace: NonNegativeSeconds = 2.0
 
 
 class LogSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """Logs."""
 
-    format: Choice = "text"
-    level: Level = "INFO"
+    format: LogFormat = "text"
+    level: LogLevel = "INFO"
 
 
 class StopSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """The planned stop."""
 
-    linger: SecondsOrNone = 2.0
-    longest: Seconds = 600.0
+    linger: NonNegativeSeconds = 2.0
+    longest: PositiveSeconds = 600.0
 
 
 class Settings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
@@ -162,8 +162,8 @@
         raise InvalidSettings(f"sections: allowed are {list(sections)}, got {sorted(unknown)}")
     values = {}
     for name, section in sections.items():
-        got = dict(parser[name]) if parser.has_section(name) else {}
-        values[name] = _section(name, section, got)
+        given = dict(parser[name]) if parser.has_section(name) else {}
+        values[name] = _parse_section(name, section, given)
     return Settings(**values)
 
 
@@ -175,35 +175,39 @@
         lines += ["| key | allowed | default |", "| --- | --- | --- |"]
         for field in msgspec.structs.fields(section.type):
             default = "(required)" if field.required else str(field.default) or "(none)"
-            lines.append(f"| `{field.name}` | {_allowed(field.type)} | {default} |")
+            lines.append(f"| `{field.name}` | {_allowed_values(field.type)} | {default} |")
         lines.append("")
     return "\n".join(lines)
 
 
-def _section(name: str, section: type[msgspec.Struct], got: dict[str, str]) -> msgspec.Struct:
+def _parse_section(
+    name: str, section: type[msgspec.Struct], given: dict[str, str]
+) -> msgspec.Struct:
     fields = {field.name: field for field in msgspec.structs.fields(section)}
-    unknown = set(got) - set(fields)
+    unknown = set(given) - set(fields)
     if unknown:
         raise InvalidSettings(f"[{name}]: allowed are {list(fields)}, got {sorted(unknown)}")
     values = {}
     for key, field in fields.items():
-        if key in got:
-            values[key] = _value(name, key, field.type, got[key])
+        if key in given:
+            values[key] = _parse_value(name, key, field.type, given[key])
         elif field.required:
-            raise InvalidSettings(f"[{name}] {key}: allowed is {_allowed(field.type)}, got nothing")
+            raise InvalidSettings(
+                f"[{name}] {key}: allowed is {_allowed_values(field.type)}, got nothing"
+            )
     return section(**values)
 
 
-def _value(section: str, key: str, kind: type, text: str):
+def _parse_value(section: str, key: str, value_type: type, text: str):
     try:
-        value = msgspec.convert(text.strip(), kind, strict=False)
+        value = msgspec.convert(text.strip(), value_type, strict=False)
     except msgspec.ValidationError as error:
-        shown = "a secret" if re.search("key", key) else repr(text)
+        displayed_value = "a secret" if re.search("key", key) else repr(text)
         raise InvalidSettings(
-            f"[{section}] {key}: allowed is {_allowed(kind)}, got {shown}"
+            f"[{section}] {key}: allowed is {_allowed_values(value_type)}, got {displayed_value}"
         ) from error
     return value
 
 
-def _allowed(kind: type) -> str:
-    return next(meta.description for meta in get_args(kind) if isinstance(meta, Meta))
+def _allowed_values(value_type: type) -> str:
+    return next(meta.description for meta in get_args(value_type) if isinstance(meta, Meta))
--- a/whinrack/settings/tests/test_settings.py
+++ b/whinrack/settings/tests/test_settings.py
@@ -5,7 +5,7 @@
 from whinrack.exceptions import InvalidSettings
 from whinrack.settings import parse_settings, render_settings_reference
 
-GOOD = """
+VALID_SETTINGS = """
 [instance]
 name = router-1
 region = south
@@ -20,14 +20,14 @@
 """
 
 
-def test_defaults_fill_what_is_not_given():
-    settings = parse_settings(GOOD)
+def test_omitted_keys_get_their_defaults():
+    settings = parse_settings(VALID_SETTINGS)
     assert settings.instance.name == "router-1"
     assert settings.budgets.horizon == 600.0
 
 
 @pytest.mark.parametrize(
-    ("section", "line", "parts"),
+    ("section", "line", "expected_parts"),
     [
         ("[http]", "body_limit = many", ["[http] body_limit", "bytes", "'many'"]),
         ("[http]", "body_limit = 5", ["[http] body_limit", "1024"]),
@@ -36,26 +36,30 @@
         ("[platform]", "timeout = -1", ["[platform] timeout", "above 0"]),
     ],
 )
-def test_a_wrong_key_is_named_with_what_is_allowed_and_got(section, line, parts):
+def test_error_names_key_allowed_and_given_value(section, line, expected_parts):
     with pytest.raises(InvalidSettings) as raised:
-        parse_settings(GOOD.replace(section, f"{section}\n{line}"))
-    for part in parts:
+        parse_settings(VALID_SETTINGS.replace(section, f"{section}\n{line}"))
+    for part in expected_parts:
         assert part in raised.value.message
 
 
-def test_a_missing_key_an_unknown_section_and_broken_text_are_refused():
-    for text in (GOOD.replace("name = router-1", ""), GOOD + "[extra]\n", "no section"):
+def test_missing_key_unknown_section_and_malformed_text_raise():
+    for text in (
+        VALID_SETTINGS.replace("name = router-1", ""),
+        VALID_SETTINGS + "[extra]\n",
+        "no section",
+    ):
         with pytest.raises(InvalidSettings):
             parse_settings(text)
 
 
-def test_a_wrong_fleet_key_is_not_shown():
+def test_error_does_not_contain_the_fleet_key():
     with pytest.raises(InvalidSettings) as raised:
-        parse_settings(GOOD.replace("a-key-of-sixteen-or-more", "too-short"))
+        parse_settings(VALID_SETTINGS.replace("a-key-of-sixteen-or-more", "too-short"))
     assert "too-short" not in raised.value.message
 
 
-def test_the_reference_names_every_section():
+def test_reference_contains_every_section():
     text = render_settings_reference()
     for section in ("instance", "http", "peer", "platform", "budgets", "journal", "stop"):
         assert f"## [{section}]" in text
