--- a/whinrack/observability/__init__.py
+++ b/whinrack/observability/__init__.py
@@ -1,4 +1,4 @@
-"""Numbered log events and metrics."""
+"""Structured log events and Prometheus metrics."""
 
 from whinrack.observability._events import Event, configure_logging, log_event
 from whinrack.observability._metrics import Metrics
--- a/whinrack/observability/_events.py
+++ b/whinrack/observability/_events.py
@@ -1,6 +1,6 @@
-"""Logs as numbered events; `docs/events.md` is their catalogue.
+"""Structured log events, each with a number; `docs/events.md` lists them.
 
-Secrets and callers' text are never fields of an event.
+Event fields never contain secrets or text sent by callers.
 """
 
 import sys
@@ -14,82 +14,121 @@
 
 
 class Event(Enum):
-    """Every event: number, level and text."""
+    """Log events with their number, log level and text.
+
+    The lower-case member name is written into JSON log lines as `name`.
+    """
 
     ROUTER_STARTED = (1001, "INFO", "router started")
-    ROUTER_STOPPING = (1002, "INFO", "planned stop begins")
-    ROUTER_STOPPED = (1003, "INFO", "planned stop done")
-    STOP_INCOMPLETE = (1004, "WARNING", "planned stop ended before everything was given back")
-    TASK_FAILED = (1005, "ERROR", "a background task failed and is tried again")
-    REQUEST_FAILED = (1006, "ERROR", "a request failed inside whinrack")
+    ROUTER_STOPPING = (1002, "INFO", "graceful shutdown started")
+    ROUTER_STOPPED = (1003, "INFO", "graceful shutdown complete")
+    STOP_INCOMPLETE = (
+        1004,
+        "WARNING",
+        "graceful shutdown ended before all bills were stored and tokens returned",
+    )
+    TASK_FAILED = (1005, "ERROR", "background task failed and will be retried")
+    REQUEST_FAILED = (1006, "ERROR", "internal error while handling a request")
 
-    MACHINE_SUSPENDED = (1010, "WARNING", "the machine was suspended and is awake again")
+    MACHINE_SUSPENDED = (1010, "WARNING", "machine resumed after being suspended")
 
-    SETTINGS_RELOADED = (1007, "INFO", "settings file read again")
-    LINES_DROPPED = (1008, "WARNING", "log lines left out to keep the volume bounded")
-    SETTINGS_INVALID = (1009, "ERROR", "settings file is invalid, the last good one stays in force")
+    SETTINGS_RELOADED = (1007, "INFO", "settings file reloaded")
+    LINES_DROPPED = (1008, "WARNING", "log lines dropped by the rate or queue limit")
+    SETTINGS_INVALID = (
+        1009,
+        "ERROR",
+        "settings file is invalid; the previous settings stay in effect",
+    )
 
-    PLATFORM_LOST = (2001, "WARNING", "platform doesn't answer")
-    PLATFORM_BACK = (2002, "INFO", "platform answers again")
-    STORE_ERA = (2003, "INFO", "the store names its era")
-    STORE_RESTORED = (2004, "WARNING", "the store came back from a copy without its latest writes")
-    LIST_REFUSED = (2005, "WARNING", "a list is behind what was followed here")
+    PLATFORM_LOST = (2001, "WARNING", "platform does not respond")
+    PLATFORM_BACK = (2002, "INFO", "platform responds again")
+    STORE_ERA = (2003, "INFO", "store reported its era")
+    STORE_RESTORED = (2004, "WARNING", "store was restored from a backup without its latest writes")
+    LIST_REFUSED = (
+        2005,
+        "WARNING",
+        "ignored a list that is older than the revision already followed",
+    )
 
     CONFIG_TAKEN = (3001, "INFO", "configuration changed")
-    CONFIG_INVALID = (3002, "ERROR", "invalid object met, the last good version stays in force")
-    FEED_CHANGED = (3003, "INFO", "configuration comes from another source")
-    KNOWLEDGE_FETCHED = (3004, "INFO", "a peer with a newer configuration told what it knows")
+    CONFIG_INVALID = (3002, "ERROR", "invalid object; its last valid version stays in effect")
+    FEED_CHANGED = (3003, "INFO", "configuration source changed")
+    KNOWLEDGE_FETCHED = (
+        3004,
+        "INFO",
+        "fetched configuration and targets from a peer with a newer configuration",
+    )
 
-    HALL_EMPTIED = (3005, "INFO", "data hall emptied: its targets get nothing more")
-    HALL_BACK = (3006, "INFO", "data hall is in use again")
+    HALL_EMPTIED = (3005, "INFO", "data hall emptied: its targets receive no more requests")
+    HALL_BACK = (3006, "INFO", "data hall back in use")
 
-    MEMBER_JOINED = (4001, "INFO", "peer seen")
+    MEMBER_JOINED = (4001, "INFO", "peer joined")
     MEMBER_LOST = (4002, "WARNING", "peer lost")
-    CROWDED = (4006, "INFO", "far more requests are open here than at the peers, or no longer")
-    PEER_REFUSED = (4003, "WARNING", "call without the fleet's key refused")
-
-    TARGET_LEAVING = (5001, "INFO", "target is leaving")
-    TARGET_EJECTED = (5002, "WARNING", "target set aside by this instance")
-    ANSWER_CUT = (5003, "WARNING", "target's answer ended early")
-    ANSWER_FOREIGN = (5004, "ERROR", "target answered with another request's id")
-    COVER_EXCEEDED = (5005, "ERROR", "target went past the cover and was cancelled")
+    CROWDED = (4006, "INFO", "instance became, or is no longer, far busier than its peers")
+    PEER_REFUSED = (4003, "WARNING", "rejected a peer call without the fleet key")
+
+    TARGET_LEAVING = (5001, "INFO", "target is leaving and receives no new requests")
+    TARGET_EJECTED = (5002, "WARNING", "target ejected by this instance")
+    ANSWER_CUT = (5003, "WARNING", "target closed its response early")
+    ANSWER_FOREIGN = (5004, "ERROR", "target responded with the id of another request")
+    COVER_EXCEEDED = (
+        5005,
+        "ERROR",
+        "target exceeded the reserved tokens; its request was cancelled",
+    )
 
-    REQUEST_SUSPECTED = (9001, "INFO", "several targets ended with one request")
-    REQUEST_QUARANTINED = (9002, "WARNING", "request ends targets and goes to no more")
-    QUARANTINE_ENDED = (9003, "INFO", "request is no longer kept out")
-    QUARANTINE_TRIAL = (9004, "INFO", "one run of a request that is kept out is let through")
-    QUARANTINE_READ = (9005, "INFO", "requests to keep out were read from the store")
-    QUARANTINE_NOT_KEPT = (9006, "WARNING", "requests to keep out could not be written or read")
-    QUARANTINE_UNREADABLE = (9007, "ERROR", "stored requests to keep out can't be read")
+    REQUEST_SUSPECTED = (9001, "INFO", "several targets terminated while running the same request")
+    REQUEST_QUARANTINED = (
+        9002,
+        "WARNING",
+        "request quarantined: targets terminated while running it",
+    )
+    QUARANTINE_ENDED = (9003, "INFO", "request released from quarantine")
+    QUARANTINE_TRIAL = (9004, "INFO", "trial run of a quarantined request allowed")
+    QUARANTINE_READ = (9005, "INFO", "read quarantined requests from the store")
+    QUARANTINE_NOT_KEPT = (
+        9006,
+        "WARNING",
+        "could not read or write quarantined requests in the store",
+    )
+    QUARANTINE_UNREADABLE = (9007, "ERROR", "stored quarantine data cannot be decoded")
 
-    TARGETS_COLD = (5007, "INFO", "targets of a pool that are cold, and the share of them here")
+    TARGETS_COLD = (5007, "INFO", "cold targets of a pool, and this instance's share of their rate")
 
-    TARGET_LIMITED = (5008, "INFO", "a target states another limit of requests than before")
+    TARGET_LIMITED = (5008, "INFO", "target changed its stated request limit")
 
-    TARGET_BACKOFF = (5009, "INFO", "a target told this instance to back off")
+    TARGET_BACKOFF = (5009, "INFO", "target asked this instance to back off")
 
-    FIELD_UNKNOWN = (5010, "WARNING", "targets or the store state something that is not known here")
+    FIELD_UNKNOWN = (5010, "WARNING", "unknown field in a response of a target or the store")
 
-    TARGET_CUT = (5006, "INFO", "target cut answers; whether it is still there")
+    TARGET_CUT = (5006, "INFO", "target cut responses; result of checking whether it still runs")
 
-    GRANT_CLOSED = (6001, "ERROR", "this incarnation's grant was released by an operator")
-    BILL_UNCONFIRMED = (6002, "WARNING", "answer ended before its bill was kept")
-    POLICY_FAILED = (6003, "WARNING", "routing program failed, the default applies")
-    EARLIER_RUNS_RELEASED = (6004, "INFO", "earlier runs: written off/freed @seconds used at most")
+    GRANT_CLOSED = (6001, "ERROR", "an operator released this incarnation's grant")
+    BILL_UNCONFIRMED = (6002, "WARNING", "response ended before its bill record was stored")
+    POLICY_FAILED = (6003, "WARNING", "routing program failed; the default route decision applies")
+    EARLIER_RUNS_RELEASED = (
+        6004,
+        "INFO",
+        "released earlier runs: written off/freed @max seconds of use",
+    )
     BOOKS_KNOWN = (
         6005,
         "INFO",
         "budgets: spendable/usable here/free/held/billed/limit @age",
     )
-    TRAFFIC = (8001, "INFO", "messages:bytes moved between instances, and calls to the store")
+    TRAFFIC = (8001, "INFO", "messages:bytes between instances, and calls to the store")
 
-    REQUEST_ANSWERED = (7001, "INFO", "a target's answer was passed on whole")
+    REQUEST_ANSWERED = (7001, "INFO", "complete target response forwarded")
     REQUEST_REFUSED = (7002, "INFO", "request refused")
-    ANSWER_BROKEN_OFF = (7003, "WARNING", "answer ended early, connection closed")
-    CALLER_LEFT = (7004, "INFO", "caller left before its answer was whole")
-    ATTEMPT_FAILED = (7005, "WARNING", "an attempt at a target failed")
-    COVER_REFUSED = (7006, "INFO", "tokens of a request could not be set aside")
-    COVER_COUNTED = (7007, "INFO", "end of a request's run is unknown, its cover counts in full")
+    ANSWER_BROKEN_OFF = (7003, "WARNING", "response aborted and connection closed")
+    CALLER_LEFT = (7004, "INFO", "caller disconnected before its response was complete")
+    ATTEMPT_FAILED = (7005, "WARNING", "attempt at a target failed")
+    COVER_REFUSED = (7006, "INFO", "could not reserve tokens for a request")
+    COVER_COUNTED = (
+        7007,
+        "INFO",
+        "outcome of a request is unknown; all its reserved tokens are charged",
+    )
 
     def __init__(self, number: int, level: str, text: str):
         self.number = number
@@ -98,7 +137,7 @@
 
 
 class LogLine(msgspec.Struct):
-    """One log line in JSON form."""
+    """A log line in JSON format."""
 
     time: str
     level: str
@@ -109,7 +148,7 @@
 
 
 def log_event(event: Event, **fields: object) -> None:
-    """Log an event with its fields."""
+    """Log an event at its level; field values are converted with `str`."""
     bound_logger = logger.bind(
         event=event, fields={key: str(value) for key, value in fields.items()}
     )
@@ -117,7 +156,10 @@
 
 
 def configure_logging(level: str, json_lines: bool, sink: TextIO | None = None) -> None:
-    """Send logs as text or JSON lines to a sink, by default standard error."""
+    """Write logs as text or JSON lines to a sink, by default standard error.
+
+    Replaces all handlers that were configured before.
+    """
     logger.remove()
     logger.add(sink or sys.stderr, level=level, format=_format_json if json_lines else _format_text)
 
--- a/whinrack/observability/_metrics.py
+++ b/whinrack/observability/_metrics.py
@@ -1,4 +1,4 @@
-"""Every metric of a daemon; `docs/metrics.md` is their catalogue."""
+"""Prometheus metrics of a daemon; `docs/metrics.md` lists them."""
 
 from prometheus_client import CollectorRegistry, Counter, Gauge, Histogram
 from prometheus_client.exposition import generate_latest
@@ -9,7 +9,10 @@
 
 
 class Metrics:
-    """The metrics of one daemon, in a registry of their own."""
+    """Metrics of one daemon, in a registry of their own.
+
+    An attribute has the name of its metric without the prefix ``whinrack_``.
+    """
 
     def __init__(self):
         self.registry = CollectorRegistry()
@@ -86,7 +89,7 @@
         self.request_memory_entries = self._gauge("request_memory_entries", "Requests remembered")
 
     def render(self) -> bytes:
-        """Return the text form that Prometheus reads."""
+        """Return all metrics in the Prometheus text format."""
         return generate_latest(self.registry)
 
     def _counter(self, name: str, description: str, *labels: str) -> Counter:
--- a/whinrack/observability/_output.py
+++ b/whinrack/observability/_output.py
@@ -1,4 +1,4 @@
-"""Log lines on a pipe that may be read slowly, or not at all."""
+"""Non-blocking output of log lines to a pipe whose reader may be slow or absent."""
 
 import os
 from collections import deque
@@ -11,19 +11,21 @@
 
 
 class BoundedLogWriter:
-    """Takes lines at once and writes them when the pipe has room.
+    """Queue of log lines that are written when the pipe has room.
+
+    Lines beyond the rate limit or the queue limit are dropped.
 
     Parameters
     ----------
     descriptor : int
-        Where the lines go; it is made non-blocking.
+        File descriptor to write to; it is made non-blocking.
     lines_per_second : float
-        Lines beyond this rate are dropped and counted.
+        Rate limit, with a burst of one second; lines beyond it are dropped and counted.
 
     Attributes
     ----------
     dropped : int
-        Lines dropped so far, by rate or because nobody reads.
+        Number of lines dropped so far, by either limit.
     """
 
     def __init__(self, descriptor: int, lines_per_second: float):
@@ -37,14 +39,14 @@
         os.set_blocking(descriptor, False)
 
     def write(self, text: str) -> None:
-        """Take a line; never blocks."""
+        """Queue a line, or drop it if a limit is reached; never block."""
         if not self._take_permit() or len(self._queued_lines) >= _MAX_QUEUED_LINES:
             self.dropped_lines += 1
             return
         self._queued_lines.append(text.encode("utf-8", "backslashreplace"))
 
     def write_pending(self) -> None:
-        """Write what the pipe takes now."""
+        """Write queued lines until the pipe is full."""
         while self._unwritten or self._queued_lines:
             if not self._unwritten:
                 self._unwritten = b"".join(self._queued_lines)
@@ -56,7 +58,7 @@
             self._unwritten = self._unwritten[written:]
 
     def flush(self) -> None:
-        """Nothing is held back on purpose."""
+        """Do nothing; part of the file interface that log sinks need."""
 
     def _take_permit(self) -> bool:
         now = steady()
