--- a/whinrack/settings/__init__.py
+++ b/whinrack/settings/__init__.py
@@ -1,4 +1,4 @@
-"""INI settings of a daemon."""
+"""Settings of a daemon, read from an INI file and validated."""
 
 from whinrack.settings._settings import (
     Settings,
--- a/whinrack/settings/_settings.py
+++ b/whinrack/settings/_settings.py
@@ -1,4 +1,4 @@
-"""INI settings, every key checked at start."""
+"""Sections and keys of the INI settings file, and their validation."""
 
 import configparser
 import re
@@ -31,7 +31,7 @@
 
 
 class InstanceSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Who and where this instance is."""
+    """Name and location of this instance."""
 
     name: Name
     region: Name
@@ -39,7 +39,7 @@
 
 
 class HttpSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """The side towards callers."""
+    """The HTTP server for callers."""
 
     address: Address
     body_limit: ByteCount = 1_000_000
@@ -51,7 +51,7 @@
 
 
 class PeerSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """The side towards the other daemons."""
+    """Communication with the other daemons of the fleet."""
 
     address: Address
     fleet_key: FleetKey
@@ -63,7 +63,7 @@
 
 
 class PlatformSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """The platform's object API."""
+    """Client of the platform's object API."""
 
     address: Address
     timeout: PositiveSeconds = 2.0
@@ -72,7 +72,7 @@
 
 
 class MembershipSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Heartbeats and the instance list."""
+    """Heartbeats between instances and reading of the instance list."""
 
     heartbeat_interval: PositiveSeconds = 1.0
     suspect_after: PositiveSeconds = 3.5
@@ -82,7 +82,7 @@
 
 
 class BudgetSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Grants."""
+    """Token grants: how much this instance draws from budgets, and when it reports use."""
 
     horizon: NonNegativeSeconds = 600.0
     check_interval: PositiveSeconds = 2.0
@@ -91,14 +91,14 @@
 
 
 class JournalSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Bills."""
+    """The journal of bill records."""
 
     commit_interval: PositiveSeconds = 0.05
     answer_wait: NonNegativeSeconds = 1.0
 
 
 class RequestSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Request memory."""
+    """The memory of recent requests, which lets retries join or repeat a response."""
 
     remember: PositiveSeconds = 600.0
     entries: Count = 20_000
@@ -107,21 +107,21 @@
 
 
 class LogSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Logs."""
+    """Log output."""
 
     format: LogFormat = "text"
     level: LogLevel = "INFO"
 
 
 class StopSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """The planned stop."""
+    """Graceful shutdown."""
 
     linger: NonNegativeSeconds = 2.0
     longest: PositiveSeconds = 600.0
 
 
 class Settings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """All sections."""
+    """All sections of the settings file."""
 
     instance: InstanceSettings
     http: HttpSettings
@@ -136,12 +136,13 @@
 
 
 def load_settings(path: Path) -> Settings:
-    """Read and check a settings file.
+    """Read and validate a settings file.
 
     Raises
     ------
     InvalidSettings
-        Naming section and key, what is allowed and what was got.
+        If the file cannot be read or is invalid; the message names the section and key, the
+        allowed values and the given value.
     """
     try:
         return parse_settings(path.read_text())
@@ -150,16 +151,22 @@
 
 
 def parse_settings(text: str) -> Settings:
-    """Check the text of a settings file."""
+    """Parse and validate the text of a settings file.
+
+    Raises
+    ------
+    InvalidSettings
+        If the text is not INI, or a section, key or value is invalid.
+    """
     parser = configparser.ConfigParser(interpolation=None)
     try:
         parser.read_string(text)
     except configparser.Error as error:
-        raise InvalidSettings(f"not INI: {error.message}") from error
+        raise InvalidSettings(f"not a valid INI file: {error.message}") from error
     sections = {field.name: field.type for field in msgspec.structs.fields(Settings)}
     unknown = set(parser.sections()) - set(sections)
     if unknown:
-        raise InvalidSettings(f"sections: allowed are {list(sections)}, got {sorted(unknown)}")
+        raise InvalidSettings(f"unknown sections {sorted(unknown)}; allowed are {list(sections)}")
     values = {}
     for name, section in sections.items():
         given = dict(parser[name]) if parser.has_section(name) else {}
@@ -168,8 +175,13 @@
 
 
 def render_settings_reference() -> str:
-    """Return the settings reference as a Markdown page."""
-    lines = ["# Settings", "", "Made from the code by `make generate`. The file is INI.", ""]
+    """Return the reference of all settings as a Markdown page."""
+    lines = [
+        "# Settings",
+        "",
+        "Generated by `make generate`. The settings file uses INI syntax.",
+        "",
+    ]
     for section in msgspec.structs.fields(Settings):
         lines += [f"## [{section.name}]", "", section.type.__doc__.strip(), ""]
         lines += ["| key | allowed | default |", "| --- | --- | --- |"]
@@ -186,14 +198,16 @@
     fields = {field.name: field for field in msgspec.structs.fields(section)}
     unknown = set(given) - set(fields)
     if unknown:
-        raise InvalidSettings(f"[{name}]: allowed are {list(fields)}, got {sorted(unknown)}")
+        raise InvalidSettings(
+            f"[{name}]: unknown keys {sorted(unknown)}; allowed are {list(fields)}"
+        )
     values = {}
     for key, field in fields.items():
         if key in given:
             values[key] = _parse_value(name, key, field.type, given[key])
         elif field.required:
             raise InvalidSettings(
-                f"[{name}] {key}: allowed is {_allowed_values(field.type)}, got nothing"
+                f"[{name}] {key}: required key is missing; must be {_allowed_values(field.type)}"
             )
     return section(**values)
 
@@ -202,9 +216,9 @@
     try:
         value = msgspec.convert(text.strip(), value_type, strict=False)
     except msgspec.ValidationError as error:
-        displayed_value = "a secret" if re.search("key", key) else repr(text)
+        displayed_value = "a secret value" if re.search("key", key) else repr(text)
         raise InvalidSettings(
-            f"[{section}] {key}: allowed is {_allowed_values(value_type)}, got {displayed_value}"
+            f"[{section}] {key}: must be {_allowed_values(value_type)}, got {displayed_value}"
         ) from error
     return value
 
--- a/whinrack/settings/tests/test_settings.py
+++ b/whinrack/settings/tests/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings: every key checked, secrets not shown."""
+"""Tests of settings validation; error messages must not contain secrets."""
 
 import pytest
 
