--- a/whinrack/operators/__init__.py
+++ b/whinrack/operators/__init__.py
@@ -1,4 +1,4 @@
-"""What operators do: apply declarations, look at budgets and bills, see the fleet."""
+"""Operator functions: apply declarations, inspect budgets, bills and routers, release grants."""
 
 from whinrack.operators._accounts import (
     BudgetBalance,
--- a/whinrack/operators/_accounts.py
+++ b/whinrack/operators/_accounts.py
@@ -1,4 +1,4 @@
-"""What operators see of budgets and bills, and what they may do to them."""
+"""Reading of budgets and bills, top-ups, and release of grants whose holder is gone."""
 
 import msgspec
 from returns.result import Failure, Result, Success
@@ -26,7 +26,15 @@
 
 
 class HolderBalance(msgspec.Struct, frozen=True):
-    """What one incarnation holds; `listed` tells whether its instance is on the list."""
+    """Tokens of one budget held by one incarnation.
+
+    Attributes
+    ----------
+    closed : bool
+        Whether the grant was released.
+    listed : bool
+        Whether the instance of the incarnation is in the instance list.
+    """
 
     holder: str
     outstanding: int
@@ -37,7 +45,7 @@
 
 
 class BudgetBalance(msgspec.Struct, frozen=True):
-    """One budget's books: limit = billed + unproven + outstanding + free."""
+    """Token balance of a budget: limit = billed + unproven + outstanding + free."""
 
     budget: str
     account: str
@@ -50,7 +58,7 @@
 
 
 def read_budget_balance(store: ObjectStore, name: str) -> Result[BudgetBalance, WhinrackError]:
-    """Read a budget's books."""
+    """Read the token balance of a budget and of all its holders."""
     account = _find_account(store, name)
     if isinstance(account, Failure):
         return account
@@ -65,7 +73,7 @@
 def top_up(
     store: ObjectStore, name: str, payment_id: str, tokens: int
 ) -> Result[BudgetEntry, WhinrackError]:
-    """Pay into a budget, once for each payment id."""
+    """Add tokens to a budget; repeating a payment id has no effect."""
     return _update_account(
         store, name, lambda account: apply_topups(account, name, {payment_id: tokens})
     )
@@ -74,14 +82,30 @@
 def release_grant(
     store: ObjectStore, name: str, holder: str, spent_tokens: int | None
 ) -> Result[BudgetEntry, WhinrackError]:
-    """Release what an incarnation that is gone for good holds of a budget."""
+    """Release the tokens of a budget held by an incarnation that no longer runs.
+
+    Parameters
+    ----------
+    store : ObjectStore
+    name : str
+        Name of the budget.
+    holder : str
+        The incarnation.
+    spent_tokens : int or None
+        Outstanding tokens known to be spent; the rest becomes free. None books all outstanding
+        tokens as unproven.
+
+    Notes
+    -----
+    An incarnation that was only paused can spend tokens that became free a second time.
+    """
     return _update_account(
         store, name, lambda account: release_holder(account, name, holder, spent_tokens)
     )
 
 
 def read_bills(store: ObjectStore) -> Result[dict[str, WorkspaceBill], PlatformFailure]:
-    """Read all journals and add them up to one bill a workspace."""
+    """Read all journals and return the bill of each workspace."""
     snapshot = store.list((JOURNAL_KIND,))
     return snapshot.map(
         lambda stored: merge_bills(decode_segment(item.value) for item in stored.objects)
@@ -105,7 +129,7 @@
     if isinstance(stored, Failure):
         failure = stored.failure()
         if isinstance(failure, NotFound):
-            return Failure(NotFound(f"no budget is named {name!r}"))
+            return Failure(NotFound(f"budget {name!r} does not exist"))
         return stored
     return Success(msgspec.json.decode(stored.unwrap().value, type=Budget).account)
 
--- a/whinrack/operators/_apply.py
+++ b/whinrack/operators/_apply.py
@@ -1,4 +1,4 @@
-"""From declarations to objects in the platform: plan, show, write conditionally."""
+"""Comparison of declarations with stored objects, and conditional writes of the differences."""
 
 from collections.abc import Iterable
 from enum import StrEnum
@@ -33,7 +33,7 @@
 
 
 class ChangeKind(StrEnum):
-    """What applying a declaration does to its object."""
+    """Effect of applying a declaration on its stored object."""
 
     CREATE = "create"
     UPDATE = "update"
@@ -41,7 +41,7 @@
 
 
 class FieldDiff(msgspec.Struct, frozen=True):
-    """A field whose value differs."""
+    """Field whose declared value differs from the stored value."""
 
     field: str
     stored: object
@@ -49,12 +49,13 @@
 
 
 class Change(msgspec.Struct, frozen=True):
-    """One object's change.
+    """Planned change of one object.
 
     Attributes
     ----------
     version : int
-        The version that was read, 0 for none; the write is conditional on it.
+        Version of the object when the change was planned, 0 if there was none; the write
+        succeeds only if the object is still at this version.
     """
 
     kind: ChangeKind
@@ -64,17 +65,17 @@
 
 
 def read_declared_objects(store: ObjectStore) -> Result[Snapshot, PlatformFailure]:
-    """Read all declared objects."""
+    """Read all stored objects of the kinds that can be declared."""
     return store.list(tuple(DECLARED_KINDS))
 
 
 def plan_changes(declarations: Iterable[Declaration], snapshot: Snapshot) -> list[Change]:
-    """Compare declarations with what is stored, in the order they are to be written.
+    """Compare declarations with stored objects and return the changes in write order.
 
     Raises
     ------
     InvalidObject
-        For a reference to an object that neither is declared nor stored.
+        If a declaration refers to an object that is neither declared nor stored.
     """
     stored = {(item.kind, item.name): item for item in snapshot.objects}
     specs = {key: _decode_stored(item) for key, item in stored.items()}
@@ -91,8 +92,8 @@
 def apply_change(store: ObjectStore, change: Change) -> Result[int, WhinrackError]:
     """Write one change and return the object's version.
 
-    A write whose reply is lost counts as done if the object then reads as declared.
-    Payments into budgets count once, however often they are applied.
+    If the reply to a write is lost, the object is read back, and the write counts as done if
+    the stored object matches the declaration. Top-ups of a budget are applied once per id.
     """
     declaration = change.declaration
     version: Result[int, WhinrackError] = Success(change.version)
@@ -120,7 +121,10 @@
 
 
 def _describe_conflict(failure: PlatformFailure, change: Change) -> WhinrackError:
-    """Show both sides of a raced change."""
+    """Return a conflict with the stored and the declared object in its message.
+
+    Other failures are returned unchanged.
+    """
     if not isinstance(failure, Conflict):
         return failure
     name = f"{change.declaration.kind}/{change.declaration.name}"
@@ -129,7 +133,7 @@
     stored = _MISSING if current is None else bytes(current.value).decode()
     current_version = 0 if current is None else current.version
     message = (
-        f"{name} was changed meanwhile: read at version {change.version}, "
+        f"{name} was changed concurrently: read at version {change.version}, "
         f"now at {current_version}\n"
         f"  stored:   {stored}\n  declared: {declared}"
     )
@@ -160,7 +164,7 @@
 
 
 def _with_account(declaration: Declaration, stored: Spec | None) -> Declaration:
-    """Keep a budget's account as it is, or choose one for a new budget."""
+    """Set the account of a budget: the stored one, or for a new budget one chosen by its name."""
     spec = declaration.spec
     if not isinstance(spec, Budget):
         return declaration
--- a/whinrack/operators/_fleet.py
+++ b/whinrack/operators/_fleet.py
@@ -1,4 +1,4 @@
-"""Asks every router of the instance list for its state."""
+"""Status requests to all routers of the instance list."""
 
 import msgspec
 import urllib3
@@ -14,7 +14,15 @@
 
 
 class RouterRow(msgspec.Struct, frozen=True):
-    """One router of the list, with its own word if it answered."""
+    """Router of the instance list.
+
+    Attributes
+    ----------
+    listed_as : str
+        State in the instance list.
+    status : RouterStatus or None
+        Status reported by the router, None if it did not respond.
+    """
 
     name: str
     address: str
@@ -23,7 +31,7 @@
 
 
 def read_fleet_status(store: ObjectStore, fleet_key: str) -> Result[list[RouterRow], WhinrackError]:
-    """Return the state of each listed router."""
+    """Request the status of each listed router."""
     listed = store.instances()
     if isinstance(listed, Failure):
         return listed
@@ -48,5 +56,5 @@
     except urllib3.exceptions.HTTPError as error:
         return Failure(PeerUnavailable(str(error)))
     if reply.status != 200:
-        return Failure(PeerUnavailable(f"status {reply.status}"))
+        return Failure(PeerUnavailable(f"HTTP status {reply.status}"))
     return Success(msgspec.json.decode(reply.data, type=RouterStatus))
