--- a/whinrack/cli/__init__.py
+++ b/whinrack/cli/__init__.py
@@ -1,4 +1,4 @@
-"""The `whinrack` command."""
+"""Command line interface: the `whinrack` command."""
 
 import sys
 
@@ -8,7 +8,10 @@
 
 
 def main() -> None:
-    """Run the command line; a daemon is prepared before anything else is imported."""
+    """Run the command line.
+
+    For a daemon, eventlet patches the standard library before other modules import it.
+    """
     if sys.argv[1:3] == _DAEMON_COMMAND:
         from whinrack.green import monkey_patch
 
--- a/whinrack/cli/_accounts.py
+++ b/whinrack/cli/_accounts.py
@@ -1,4 +1,4 @@
-"""Commands on budgets, bills and keys."""
+"""Commands for budgets, bills and API keys."""
 
 import secrets
 from pathlib import Path
@@ -16,7 +16,7 @@
 
 @click.group()
 def budget() -> None:
-    """Prepaid budgets."""
+    """Show, top up and release prepaid budgets."""
 
 
 @budget.command("show")
@@ -24,7 +24,7 @@
 @PLATFORM_OPTION
 @OUTPUT_OPTION
 def budget_show(name: str, platform: str, output: str) -> None:
-    """Show a budget's books; a holder marked `gone` isn't on the instance list."""
+    """Show the token balance of budget NAME; holders marked `gone` are not in the instance list."""
     books = value_or_exit(read_budget_balance(open_store(platform), name))
     lines = [
         f"{books.budget}: limit {books.limit} = billed {books.billed} + unproven "
@@ -42,10 +42,12 @@
 @budget.command("topup")
 @click.argument("name")
 @click.argument("tokens", type=click.IntRange(1, 10**15))
-@click.option("--id", "payment", help="Payment id; repeating it pays once. Default: a new one.")
+@click.option(
+    "--id", "payment", help="Payment id; a repeated id is applied once. Default: a new id."
+)
 @PLATFORM_OPTION
 def budget_topup(name: str, tokens: int, payment: str | None, platform: str) -> None:
-    """Pay TOKENS into budget NAME.
+    """Add TOKENS to budget NAME.
 
     \b
     Example:  whinrack budget topup clachan 500000 --id 2026-12-invoice-7
@@ -53,26 +55,28 @@
     payment = payment or secrets.token_hex(8)
     result = top_up(open_store(platform), name, payment, tokens)
     if isinstance(result, Failure):
-        click.echo(f"payment id {payment}; repeat the command with it", err=True)
+        click.echo(f"to retry, repeat the command with --id {payment}", err=True)
     entry = value_or_exit(result)
     click.echo(f"{name}: limit {entry.limit}, payment id {payment}")
 
 
 @budget.command("release")
 @click.argument("name")
-@click.option("--holder", required=True, help="The incarnation that is gone for good.")
+@click.option(
+    "--holder", required=True, help="The incarnation that no longer runs and cannot resume."
+)
 @click.option(
     "--served",
     type=click.IntRange(0),
-    help="Tokens known to be spent; the rest becomes free. Default: all stay out of use.",
+    help="Tokens known to be spent; the rest becomes free. Default: all are booked as unproven.",
 )
-@click.confirmation_option(prompt="Is this incarnation gone for good?")
+@click.confirmation_option(prompt="Is it certain that this incarnation cannot resume?")
 @PLATFORM_OPTION
 def budget_release(name: str, holder: str, served: int | None, platform: str) -> None:
-    """Release what a killed incarnation holds of budget NAME.
+    """Release the tokens of budget NAME that a terminated incarnation holds.
 
-    Without --served nothing becomes spendable: the tokens are only booked as unproven.
-    Tokens that are given back though their holder still lives could be spent twice.
+    Without --served no tokens become free: all are booked as unproven.
+    If the holder still runs, tokens that become free can be spent twice.
     """
     entry = value_or_exit(release_grant(open_store(platform), name, holder, served))
     click.echo(f"{name}: free {entry.free}, unproven {entry.unproven}")
@@ -82,11 +86,11 @@
 @PLATFORM_OPTION
 @OUTPUT_OPTION
 def bill(platform: str, output: str) -> None:
-    """Show each workspace's bill: every request once, however often it ran."""
+    """Show the bill of each workspace; a request that ran several times is billed once."""
     bills = value_or_exit(read_bills(open_store(platform)))
     lines = [
         f"{name}: {row.requests} requests, {row.tokens} tokens"
-        f" ({row.duplicate_tokens} of further runs not billed)"
+        f" ({row.duplicate_tokens} tokens of duplicate runs not billed)"
         for name, row in sorted(bills.items())
     ]
     print_result(bills, output, "\n".join(lines))
@@ -94,7 +98,7 @@
 
 @click.group()
 def key() -> None:
-    """Bearer keys."""
+    """Create API keys."""
 
 
 @key.command("create")
@@ -103,7 +107,7 @@
 @click.option("--budget", "budget_name", required=True)
 @click.option("--declaration", type=click.Path(path_type=Path), required=True)
 def key_create(name: str, workspace: str, budget_name: str, declaration: Path) -> None:
-    """Make a key: prints it once and writes its declaration, which holds no secret.
+    """Create a key, print it once and write its declaration, which contains no secret.
 
     \b
     Example:  whinrack key create bench --workspace clachan --budget clachan \\
--- a/whinrack/cli/_declarations.py
+++ b/whinrack/cli/_declarations.py
@@ -1,4 +1,4 @@
-"""Commands on declared objects: apply, diff, get, delete."""
+"""Commands for declared objects: apply, diff, get, delete."""
 
 from pathlib import Path
 
@@ -18,14 +18,17 @@
 
 @click.command()
 @click.argument("folder", type=click.Path(exists=True, file_okay=False, path_type=Path))
-@click.option("--dry-run", is_flag=True, help="Show what would change and write nothing.")
+@click.option("--dry-run", is_flag=True, help="Show the changes without writing them.")
 @click.option(
-    "--read", type=int, metavar="REVISION", help="Refuse objects changed after this revision."
+    "--read",
+    type=int,
+    metavar="REVISION",
+    help="Fail if an object to be updated was changed after this revision.",
 )
 @PLATFORM_OPTION
 @OUTPUT_OPTION
 def apply(folder: Path, dry_run: bool, read: int | None, platform: str, output: str) -> None:
-    """Write the declarations below FOLDER.
+    """Write the declarations in FOLDER and its subfolders to the platform.
 
     \b
     Example:  whinrack apply declarations/ --dry-run
@@ -46,7 +49,7 @@
 @PLATFORM_OPTION
 @OUTPUT_OPTION
 def diff(folder: Path, platform: str, output: str) -> None:
-    """Show how declarations differ from what is stored, and the revision that was read."""
+    """Show the differences between declarations in FOLDER and stored objects, and the revision."""
     changes, revision = _plan_folder(open_store(platform), folder)
     _print_changes(changes, revision, output)
 
@@ -57,7 +60,7 @@
 @PLATFORM_OPTION
 @OUTPUT_OPTION
 def get(kind: str, name: str | None, platform: str, output: str) -> None:
-    """Show stored objects of a KIND, or the one called NAME."""
+    """Show all stored objects of a KIND, or the one named NAME."""
     snapshot = value_or_exit(open_store(platform).list((kind,)))
     found = [item for item in snapshot.objects if name in (None, item.name)]
     if name is not None and not found:
@@ -71,10 +74,12 @@
 @click.command()
 @_KIND_ARGUMENT
 @click.argument("name")
-@click.option("--version", type=int, required=True, help="The version that was read.")
+@click.option(
+    "--version", type=int, required=True, help="Version of the object, as `get` shows it."
+)
 @PLATFORM_OPTION
 def delete(kind: str, name: str, version: int, platform: str) -> None:
-    """Delete an object that is still at a version, as `get` shows it."""
+    """Delete an object if it is still at the given version."""
     value_or_exit(open_store(platform).delete(kind, name, version))
     click.echo(f"deleted {kind}/{name}")
 
--- a/whinrack/cli/_fleet.py
+++ b/whinrack/cli/_fleet.py
@@ -1,4 +1,4 @@
-"""Commands on the fleet: status, and instances of targets."""
+"""Commands for the fleet: status of routers, and draining of target instances."""
 
 import click
 import msgspec
@@ -16,12 +16,12 @@
 @FLEET_KEY_OPTION
 @OUTPUT_OPTION
 def status(platform: str, fleet_key: str, output: str) -> None:
-    """Show each router: versions in force, leaving targets, tokens held."""
+    """Show the status of each router: configuration version, leaving targets, tokens held."""
     rows = value_or_exit(read_fleet_status(open_store(platform), fleet_key))
     lines = []
     for row in rows:
         if row.status is None:
-            lines.append(f"{row.name} {row.address} {row.listed_as}: no answer")
+            lines.append(f"{row.name} {row.address} {row.listed_as}: no response")
             continue
         state = row.status
         held_tokens = sum(grant.spendable + grant.open_cover for grant in state.grants)
@@ -32,25 +32,27 @@
         )
     newest_versions = [row.status.newest for row in rows if row.status is not None]
     if newest_versions:
-        lines.append(f"in force everywhere: {min(newest_versions)}" + _unreachable_note(rows))
+        lines.append(
+            f"in effect on all responding routers: {min(newest_versions)}" + _unreachable_note(rows)
+        )
     print_result(rows, output, "\n".join(lines))
 
 
 def _unreachable_note(rows: list[RouterRow]) -> str:
     unreachable = [row.name for row in rows if row.status is None]
-    return f" (not heard: {', '.join(unreachable)})" if unreachable else ""
+    return f" (no response: {', '.join(unreachable)})" if unreachable else ""
 
 
 @click.group()
 def instance() -> None:
-    """Instances of targets."""
+    """Manage instances that run targets."""
 
 
 @instance.command("drain")
 @click.argument("name")
 @PLATFORM_OPTION
 def instance_drain(name: str, platform: str) -> None:
-    """Mark every target on instance NAME as leaving: no new work, work in progress ends."""
+    """Mark all targets on instance NAME as leaving; they finish requests but get no new ones."""
     store = open_store(platform)
     snapshot = value_or_exit(store.list(("Target",)))
     drained = 0
--- a/whinrack/cli/_local.py
+++ b/whinrack/cli/_local.py
@@ -1,4 +1,4 @@
-"""Commands that need no platform: routing programs, settings, and the daemon itself."""
+"""Commands for routing programs, settings files and the daemon, run without platform options."""
 
 import sys
 import tomllib
@@ -19,15 +19,15 @@
 
 @click.group()
 def policy() -> None:
-    """Routing programs."""
+    """Check and try routing programs."""
 
 
 @policy.command("check")
 @click.argument("program", type=click.Path(exists=True, dir_okay=False, path_type=Path))
 def policy_check(program: Path) -> None:
-    """Compile a PROGRAM file and say whether it is in order."""
+    """Compile a PROGRAM file and report errors."""
     _compile_program(program)
-    click.echo("in order")
+    click.echo("the routing program is valid")
 
 
 @policy.command("try")
@@ -35,7 +35,7 @@
 @click.argument("request", type=click.Path(exists=True, dir_okay=False, path_type=Path))
 @OUTPUT_OPTION
 def policy_try(program: Path, request: Path, output: str) -> None:
-    """Run a PROGRAM file for a sample REQUEST, a TOML file, outside the fleet.
+    """Run a PROGRAM file on a sample REQUEST (TOML) and print its decision.
 
     \b
     The file holds a table `request` and one table `pools.NAME` for each pool.
@@ -63,20 +63,20 @@
 
 @click.group()
 def settings() -> None:
-    """Settings of a router."""
+    """Check settings files of a router."""
 
 
 @settings.command("check")
 @click.argument("file", type=click.Path(exists=True, dir_okay=False, path_type=Path))
 def settings_check(file: Path) -> None:
-    """Check every key of a settings FILE."""
+    """Validate a settings FILE."""
     _load_settings_file(file)
-    click.echo("in order")
+    click.echo("the settings file is valid")
 
 
 @click.group()
 def router() -> None:
-    """The router daemon."""
+    """Run the router daemon."""
 
 
 @router.command("run")
@@ -87,7 +87,7 @@
     required=True,
 )
 def router_run(file: Path) -> None:
-    """Run one router until SIGTERM, which is a planned stop."""
+    """Run a router until SIGTERM, which starts a graceful shutdown."""
     loaded = _load_settings_file(file)
     from whinrack.server import RouterDaemon
 
--- a/whinrack/cli/_main.py
+++ b/whinrack/cli/_main.py
@@ -1,4 +1,4 @@
-"""The command line's root; each command is thin over the library."""
+"""Root command; subcommands only parse options, call the library and print results."""
 
 import click
 
--- a/whinrack/cli/_output.py
+++ b/whinrack/cli/_output.py
@@ -1,4 +1,4 @@
-"""How the command line shows results and failures."""
+"""Output of results and errors, and exit codes."""
 
 import sys
 from typing import NoReturn
@@ -21,7 +21,7 @@
 
 __all__ = ["EXIT_CODES", "exit_with_error", "print_result", "value_or_exit"]
 
-# Documented in docs/operators.md; 2 is click's own for wrong usage.
+# Documented in docs/operators.md; click itself uses 2 for usage errors.
 EXIT_CODES: dict[type[WhinrackError], int] = {
     WhinrackError: 1,
     Conflict: 3,
@@ -36,20 +36,20 @@
 
 
 def exit_with_error(error: WhinrackError) -> NoReturn:
-    """Show a failure and end with its exit code."""
+    """Print an error to standard error and exit with its exit code."""
     click.echo(f"{error.code}: {error.message}", err=True)
     sys.exit(EXIT_CODES.get(type(error), 1))
 
 
 def value_or_exit(result: Result):
-    """Return a result's value, or show its failure and end."""
+    """Return the value of a result, or print its failure and exit."""
     if isinstance(result, Failure):
         exit_with_error(result.failure())
     return result.unwrap()
 
 
 def print_result(value: object, output_format: str, text: str) -> None:
-    """Print a value as JSON, or its text form."""
+    """Print `value` as JSON if the output format is ``json``, else print `text`."""
     if output_format == "json":
         click.echo(msgspec.json.format(msgspec.json.encode(value), indent=2).decode())
     else:
--- a/whinrack/cli/_quarantine.py
+++ b/whinrack/cli/_quarantine.py
@@ -1,4 +1,4 @@
-"""Commands on requests that are kept from targets."""
+"""Commands for quarantined requests."""
 
 import click
 import msgspec
@@ -20,20 +20,20 @@
     envvar="WHINRACK_METRICS",
     required=True,
     metavar="HOST:PORT",
-    help="The metrics address of any instance; or set WHINRACK_METRICS.",
+    help="Metrics address of any instance. Environment variable: WHINRACK_METRICS.",
 )
 
 
 @click.group()
 def quarantine() -> None:
-    """Requests under which targets ended, and which therefore go to no more."""
+    """List and lift quarantined requests: targets terminated while running them."""
 
 
 @quarantine.command("list")
 @_METRICS_OPTION
 @OUTPUT_OPTION
 def quarantine_list(metrics: str, output: str) -> None:
-    """Show each request that is kept out: whose it is, its route, the targets that ended."""
+    """Show quarantined requests with workspace, route and the targets that terminated."""
     data = value_or_exit(_request("GET", metrics, "/quarantine"))
     rows = msgspec.json.decode(data, type=list[QuarantinedRequest])
     lines = [
@@ -48,7 +48,7 @@
 @click.argument("fingerprint")
 @_METRICS_OPTION
 def quarantine_lift(fingerprint: str, metrics: str) -> None:
-    """Let requests with FINGERPRINT go to targets again, in the whole fleet."""
+    """Lift the quarantine of requests with FINGERPRINT in the whole fleet."""
     value_or_exit(_request("DELETE", metrics, f"/quarantine/{fingerprint}"))
     click.echo("lifted")
 
@@ -59,7 +59,7 @@
             method, f"http://{address}{path}", timeout=_TIMEOUT_SECONDS, retries=False
         )
     except urllib3.exceptions.HTTPError as error:
-        return Failure(PeerUnavailable(f"{address} doesn't answer: {error}"))
+        return Failure(PeerUnavailable(f"{address} does not respond: {error}"))
     if reply.status != _OK:
-        return Failure(NotFound("nothing is known of this request"))
+        return Failure(NotFound("no such request in quarantine"))
     return Success(reply.data)
--- a/whinrack/cli/tests/test_quarantine.py
+++ b/whinrack/cli/tests/test_quarantine.py
@@ -1,4 +1,4 @@
-"""Operators see the requests that are kept out, and lift one."""
+"""Tests of the operator endpoints and commands that list and lift quarantined requests."""
 
 import pytest
 from click.testing import CliRunner
@@ -32,7 +32,7 @@
 
 
 class RecordingWriter:
-    """Keeps the answer."""
+    """Record the response that an exchange sends."""
 
     def send_response(self, status, headers, body):
         self.status, self.body = status, body
