--- a/whinrack/__main__.py
+++ b/whinrack/__main__.py
@@ -1,4 +1,4 @@
-"""Runs the command line with ``python -m whinrack``."""
+"""Entry point of ``python -m whinrack``."""
 
 from whinrack.cli import main
 
--- a/whinrack/base.py
+++ b/whinrack/base.py
@@ -1,4 +1,4 @@
-"""Small pieces that several subpackages share."""
+"""Helpers used by several subpackages: names of instances, rendezvous hashing, outcomes."""
 
 import secrets
 from collections.abc import Iterable
@@ -15,14 +15,15 @@
     "rendezvous_order",
 ]
 
-# A target that names a longer time by mistake must not stay out of use for good.
+# Upper bound on the backoff that a target requests, so that a target that states a longer time
+# by mistake is used again.
 MAX_BACKOFF_SECONDS = 3600.0
 
 _NONCE_BYTES = 5
 
 
 class Outcome(StrEnum):
-    """What a caller is told about whether its request was run."""
+    """Whether a request was run, as reported to its caller."""
 
     RAN = "ran"
     NOT_RUN = "not_run"
@@ -30,7 +31,7 @@
 
 
 def incarnation_name(instance: str, nonce: str) -> str:
-    """Return the name of one run of an instance.
+    """Return the incarnation name of one run (process lifetime) of an instance.
 
     Examples
     --------
@@ -41,12 +42,12 @@
 
 
 def new_incarnation(instance: str) -> str:
-    """Return an incarnation name that no earlier run of `instance` had."""
+    """Return an incarnation name for a new run of `instance`, unique by its random suffix."""
     return incarnation_name(instance, secrets.token_hex(_NONCE_BYTES))
 
 
 def instance_name(incarnation: str) -> str:
-    """Return the instance that an incarnation is a run of.
+    """Return the instance name of an incarnation.
 
     Examples
     --------
@@ -57,14 +58,19 @@
 
 
 def rendezvous_order(key: str, nodes: Iterable[str]) -> list[str]:
-    """Order nodes by their rendezvous weight for a key, heaviest first.
+    """Order nodes by their rendezvous hash for a key, highest first.
 
     Parameters
     ----------
     key : str
-        What is to be placed.
+        Key to assign to nodes.
     nodes : iterable of str
-        The candidates. Adding or removing one moves only its own keys.
+        Candidates. Adding or removing a node moves only the keys assigned to it.
+
+    Returns
+    -------
+    list of str
+        All nodes, the preferred one first.
 
     References
     ----------
--- a/whinrack/exceptions.py
+++ b/whinrack/exceptions.py
@@ -1,7 +1,7 @@
-"""Every failure of whinrack as a type.
+"""Exception types of whinrack.
 
-A `WhinrackError` carries a stable `code`. Failures that a caller sees derive from
-`Refusal`, which adds the HTTP status, the outcome and when to come back.
+Each `WhinrackError` has a stable `code`. Errors that are sent to callers derive from `Refusal`,
+which adds the HTTP status, the error type, the outcome and when to retry.
 """
 
 from whinrack.base import Outcome
@@ -55,7 +55,7 @@
 
 
 class WhinrackError(Exception):
-    """Base of every failure; `code` is stable, the message is for people."""
+    """Base of all errors; `code` is stable, `message` is human-readable and may change."""
 
     code = "whinrack"
 
@@ -65,81 +65,81 @@
 
 
 class InvalidSettings(WhinrackError):
-    """A settings key whose value isn't allowed."""
+    """A settings file, section, key or value is invalid."""
 
     code = "invalid_settings"
 
 
 class InvalidObject(WhinrackError):
-    """A declared object with a field whose value isn't allowed."""
+    """A declared object is malformed or has a field with an invalid value."""
 
     code = "invalid_object"
 
 
 class PolicyFailure(WhinrackError):
-    """A routing program that doesn't compile, fails or returns a wrong value."""
+    """A routing program does not compile, fails or returns an invalid value."""
 
     code = "policy_failure"
 
 
 class PeerUnavailable(WhinrackError):
-    """A peer that didn't answer in time, or refused the call."""
+    """A peer did not respond in time or rejected the call."""
 
     code = "peer_unavailable"
 
 
 class CallerGone(WhinrackError):
-    """The caller closed its connection, or doesn't read its answer."""
+    """The caller closed its connection or does not read its response."""
 
     code = "caller_gone"
 
 
-# --- the platform's object API ---------------------------------------------------
+# --- errors of the platform's object API -----------------------------------------
 
 
 class PlatformFailure(WhinrackError):
-    """Base of what a call to the platform can fail with."""
+    """Base of all errors of calls to the platform."""
 
     code = "platform_failure"
 
 
 class PlatformUnavailable(PlatformFailure):
-    """The call did not reach the platform, or it refused to serve."""
+    """The platform was not reached or refused to serve the call."""
 
     code = "platform_unavailable"
 
 
 class ReplyLost(PlatformUnavailable):
-    """A read was sent and no reply came: the connection may be dead and the platform well."""
+    """No reply to a read was received; the connection may be dead while the platform is healthy."""
 
     code = "reply_lost"
 
 
 class WriteUnknown(PlatformFailure):
-    """A write was sent and its reply lost: it may have taken effect."""
+    """No reply to a write was received; the write may have taken effect."""
 
     code = "write_unknown"
 
 
 class RateExceeded(PlatformFailure):
-    """The call was held back by this process's own rate limit."""
+    """The client-side rate limit of this process rejected the call."""
 
     code = "platform_rate"
 
 
 class NotFound(PlatformFailure):
-    """No such object."""
+    """The object does not exist."""
 
     code = "not_found"
 
 
 class Conflict(PlatformFailure):
-    """The object is not at the version that the write was conditional on.
+    """The object is not at the version that a conditional write expected.
 
     Attributes
     ----------
     current : object or None
-        The stored object as the platform returned it, None if there is none.
+        The stored object as returned by the platform, None if there is none.
     """
 
     code = "conflict"
@@ -149,27 +149,27 @@
         self.current = current
 
 
-# --- what callers are told -------------------------------------------------------
+# --- errors sent to callers ------------------------------------------------------
 
 
 class Refusal(WhinrackError):
-    """A request's final answer other than its target's.
+    """Error response that a request gets from whinrack instead of a target's response.
 
     Parameters
     ----------
     message : str
-        For people.
+        Human-readable description.
     param : str, optional
-        The field of the request that is at fault.
+        The request field that caused the error.
     retry_after : float, optional
-        Seconds after which coming back makes sense.
+        Seconds after which the caller should retry.
     outcome : Outcome, optional
-        Overrides the type's usual outcome.
+        Overrides the default outcome of the class.
 
     Attributes
     ----------
     attempts : int
-        Tries at targets before the request was given up.
+        Number of attempts at targets that were made.
     """
 
     code = "refused"
@@ -193,25 +193,25 @@
 
 
 class Unauthorized(Refusal):
-    """No key, or one that isn't known."""
+    """The API key is missing or unknown."""
 
     code, status, error_type = "invalid_api_key", 401, "authentication_error"
 
 
 class Forbidden(Refusal):
-    """The key may not use what it asked for."""
+    """The API key is not permitted to use the requested resource."""
 
     code, status, error_type = "forbidden", 403, "permission_error"
 
 
 class BadRequest(Refusal):
-    """The request is malformed; `param` names the field."""
+    """The request is malformed; `param` names the invalid field."""
 
     code, status, error_type = "bad_request", 400, "invalid_request_error"
 
 
 class CoverUnbounded(BadRequest):
-    """No provable bound on the tokens of the request exists."""
+    """The tokens of the request have no provable upper bound."""
 
     code = "cover_unbounded"
 
@@ -223,7 +223,7 @@
 
 
 class UnknownPool(Refusal):
-    """No plain service pool of this name."""
+    """No service pool has this name."""
 
     code, status, error_type = "pool_not_found", 404, "invalid_request_error"
 
@@ -235,147 +235,147 @@
 
 
 class KeyReused(Refusal):
-    """The Idempotency-Key was used before with another body."""
+    """The Idempotency-Key was already used with a different body."""
 
     code, status, error_type = "idempotency_key_reused", 409, "invalid_request_error"
 
 
 class BodyTooLarge(Refusal):
-    """The body is larger than allowed."""
+    """The request body exceeds the size limit."""
 
     code, status, error_type = "body_too_large", 413, "invalid_request_error"
 
 
 class HeadersTooLarge(Refusal):
-    """The request's head is larger than allowed."""
+    """The request head exceeds the size limit."""
 
     code, status, error_type = "headers_too_large", 431, "invalid_request_error"
 
 
 class NoRoute(Refusal):
-    """No route in force has this host and path."""
+    """No configured route matches the host and path."""
 
     code, status, error_type = "no_route", 404, "invalid_request_error"
 
 
 class ConfigurationUnknown(Refusal):
-    """This instance has not learnt any configuration yet."""
+    """This instance has not received any configuration yet."""
 
     code, status, error_type = "configuration_unknown", 503, "overloaded_error"
 
 
 class RouterStopping(Refusal):
-    """This instance is about to stop and takes no more requests."""
+    """This instance is shutting down and accepts no more requests."""
 
     code, status, error_type = "router_stopping", 503, "overloaded_error"
 
 
 class BudgetExhausted(Refusal):
-    """The prepaid budget can't cover the request."""
+    """The prepaid budget has too few tokens for the request."""
 
     code, status, error_type = "budget_exhausted", 402, "insufficient_quota"
 
 
 class BudgetContended(Refusal):
-    """The budget has tokens, but none that this instance can reach now."""
+    """The budget has tokens, but this instance cannot obtain enough of them now."""
 
     code, status, error_type = "budget_contended", 429, "rate_limit_error"
 
 
 class QueueFull(Refusal):
-    """The pool's bounded queue is full."""
+    """The request queue of the pool is full."""
 
     code, status, error_type = "queue_full", 429, "rate_limit_error"
 
 
 class DeadlineUnreachable(Refusal):
-    """The request can't be started before its deadline."""
+    """The request cannot be started before its deadline."""
 
     code, status, error_type = "deadline_unreachable", 429, "rate_limit_error"
 
 
 class TargetUnavailable(Refusal):
-    """No target of the allowed pools takes work now."""
+    """No target of the allowed pools accepts requests now."""
 
     code, status, error_type = "target_unavailable", 503, "overloaded_error"
 
 
 class TargetsCold(Refusal):
-    """All targets have just started, and bear no more requests now."""
+    """All targets have just started and cannot accept more requests while they warm up."""
 
     code, status, error_type = "targets_cold", 503, "overloaded_error"
 
 
 class TargetsLimited(Refusal):
-    """All targets say that they take few requests, and those are taken."""
+    """All targets have stated a request limit, and all these limits are reached."""
 
     code, status, error_type = "targets_limited", 503, "overloaded_error"
 
 
 class TargetsOverloaded(Refusal):
-    """All targets have told this instance to back off."""
+    """All targets have asked this instance to back off."""
 
     code, status, error_type = "targets_overloaded", 503, "overloaded_error"
 
 
 class RequestQuarantined(Refusal):
-    """Targets ended under each run of this request; it goes to no more."""
+    """The request is quarantined, since targets terminated while running it."""
 
     code, status, error_type = "request_quarantined", 503, "api_error"
 
 
 class ClaimUnavailable(Refusal):
-    """A request that must run at most once couldn't be claimed."""
+    """A request that must run at most once could not be claimed."""
 
     code, status, error_type = "claim_unavailable", 503, "overloaded_error"
 
 
 class OutcomeUnknown(Refusal):
-    """The request may have run; it is not run again."""
+    """The request may have run and is not retried."""
 
     code, status, error_type = "outcome_unknown", 503, "api_error"
     outcome = Outcome.UNKNOWN
 
 
 class TargetFailed(Refusal):
-    """The target failed after work was sent to it."""
+    """The target failed after the request was sent to it."""
 
     code, status, error_type = "target_failed", 502, "api_error"
     outcome = Outcome.UNKNOWN
 
 
 class AttemptTimeout(TargetFailed):
-    """The target gave no whole answer within the time that the request had."""
+    """The target did not complete its response within the time limit of the request."""
 
     code, status = "attempt_timeout", 504
 
 
 class AnswerCut(TargetFailed):
-    """The target's answer ended before it was whole."""
+    """The response of the target ended early."""
 
     code = "answer_cut"
 
 
 class ForeignAnswer(TargetFailed):
-    """The target answered with another request's id."""
+    """The target responded with the id of another request."""
 
     code = "foreign_answer"
 
 
 class AnswerNotKept(Refusal):
-    """The request ran and was billed, but its answer is no longer here."""
+    """The request ran and was billed, but its response is no longer stored."""
 
     code, status, error_type = "answer_not_kept", 409, "invalid_request_error"
     outcome = Outcome.RAN
 
 
 class NoSuchPath(Refusal):
-    """No endpoint has this path and method."""
+    """No endpoint matches the path and method."""
 
     code, status, error_type = "no_such_path", 404, "invalid_request_error"
 
 
 class InternalFailure(Refusal):
-    """Whinrack itself failed."""
+    """An internal error of whinrack."""
 
     code, status, error_type = "internal", 500, "api_error"
--- a/whinrack/green.py
+++ b/whinrack/green.py
@@ -1,7 +1,7 @@
-"""Prepares a process for eventlet; imported before anything else by the daemon.
+"""Preparation of a process for eventlet; the daemon imports it before any other module.
 
-eventlet announces its own deprecation. It is kept at the edge: the server, the clients
-and the timers. The decisions know nothing of it.
+eventlet is deprecated by its maintainers. Only the server, the clients and the timers depend on
+it; decision logic does not.
 """
 
 import os
@@ -11,9 +11,9 @@
 
 
 def monkey_patch() -> None:
-    """Choose the asyncio hub, on which grpclib runs too, and patch the library.
+    """Select eventlet's asyncio hub, on which grpclib also runs, and patch the standard library.
 
-    Addresses are IP numbers, so eventlet's own name resolution stays off.
+    eventlet's DNS resolver stays disabled, since all addresses are IP addresses.
     """
     os.environ["EVENTLET_HUB"] = "asyncio"
     os.environ.setdefault("EVENTLET_NO_GREENDNS", "yes")
--- a/whinrack/keepalive.py
+++ b/whinrack/keepalive.py
@@ -1,15 +1,15 @@
-"""Socket options by which the kernel finds connections that fell silent without a reset."""
+"""Socket options that let the kernel detect dead connections for which no reset was received."""
 
 import socket
 
 __all__ = ["KEEPALIVE_OPTIONS"]
 
-# Seconds without traffic until the first probe, and between probes; the least that there is.
+# Idle seconds before the first probe, and seconds between probes; 1 is the minimum.
 _PROBE_INTERVAL_SECONDS = 1
 _MAX_PROBES = 2
-# A probe, or data, that is not acknowledged for so long ends the connection. Longer than two
-# lost packets in a row take to be sent again, shorter than two probes: a dead connection is
-# known after 2 s, where a stream waited 12 s for its deadline.
+# A connection is closed if a probe or data is not acknowledged within this time. It is longer than
+# the retransmission of two consecutive lost packets takes and shorter than two probes. A dead
+# connection is detected after 2 s; before, a stream waited 12 s for its deadline.
 _USER_TIMEOUT_MILLISECONDS = 1500
 
 KEEPALIVE_OPTIONS = [
--- a/whinrack/status.py
+++ b/whinrack/status.py
@@ -1,4 +1,4 @@
-"""What a daemon tells operators about itself, at ``GET /v1/status``."""
+"""Status of a daemon, as returned by ``GET /v1/status``."""
 
 import msgspec
 
@@ -8,7 +8,7 @@
 
 
 class GrantStatus(msgspec.Struct, frozen=True):
-    """What this incarnation holds of one budget."""
+    """Tokens of one budget held by this incarnation."""
 
     budget: str
     spendable: int
@@ -18,7 +18,7 @@
 
 
 class RouterStatus(msgspec.Struct, frozen=True):
-    """What `whinrack status` shows of one daemon."""
+    """Status of one daemon, shown by `whinrack status`."""
 
     incarnation: str
     leaving: bool
