--- a/whinrack/cli/_accounts.py
+++ b/whinrack/cli/_accounts.py
@@ -25,18 +25,18 @@
 @OUTPUT_OPTION
 def budget_show(name: str, platform: str, output: str) -> None:
     """Show the token balance of budget NAME; holders marked `gone` are not in the instance list."""
-    books = value_or_exit(read_budget_balance(open_store(platform), name))
+    balance = value_or_exit(read_budget_balance(open_store(platform), name))
     lines = [
-        f"{books.budget}: limit {books.limit} = billed {books.billed} + unproven "
-        f"{books.unproven} + outstanding {books.outstanding} + free {books.free}"
+        f"{balance.budget}: limit {balance.limit} = billed {balance.billed} + unproven "
+        f"{balance.unproven} + outstanding {balance.outstanding} + free {balance.free}"
     ]
-    for row in books.holders:
+    for row in balance.holders:
         state = "closed" if row.closed else "listed" if row.listed else "gone"
         lines.append(
             f"  {row.holder} {state} outstanding={row.outstanding} billed={row.billed} "
             f"unproven={row.unproven}"
         )
-    print_result(books, output, "\n".join(lines))
+    print_result(balance, output, "\n".join(lines))
 
 
 @budget.command("topup")
--- a/whinrack/cli/_declarations.py
+++ b/whinrack/cli/_declarations.py
@@ -62,13 +62,13 @@
 def get(kind: str, name: str | None, platform: str, output: str) -> None:
     """Show all stored objects of a KIND, or the one named NAME."""
     snapshot = value_or_exit(open_store(platform).list((kind,)))
-    found = [item for item in snapshot.objects if name in (None, item.name)]
-    if name is not None and not found:
+    selected = [item for item in snapshot.objects if name in (None, item.name)]
+    if name is not None and not selected:
         exit_with_error(NotFound(f"{kind}/{name}"))
     lines = [
-        f"{item.kind}/{item.name} @{item.version} {bytes(item.value).decode()}" for item in found
+        f"{item.kind}/{item.name} @{item.version} {bytes(item.value).decode()}" for item in selected
     ]
-    print_result(found, output, "\n".join(lines))
+    print_result(selected, output, "\n".join(lines))
 
 
 @click.command()
--- a/whinrack/operators/_accounts.py
+++ b/whinrack/operators/_accounts.py
@@ -106,9 +106,9 @@
 
 def read_bills(store: ObjectStore) -> Result[dict[str, WorkspaceBill], PlatformFailure]:
     """Read all journals and return the bill of each workspace."""
-    snapshot = store.list((JOURNAL_KIND,))
-    return snapshot.map(
-        lambda stored: merge_bills(decode_segment(item.value) for item in stored.objects)
+    result = store.list((JOURNAL_KIND,))
+    return result.map(
+        lambda snapshot: merge_bills(decode_segment(item.value) for item in snapshot.objects)
     )
 
 
