--- a/whinrack/base.py
+++ b/whinrack/base.py
@@ -51,7 +51,7 @@
 
     Examples
     --------
-    >>> instance_of("router-1.ab12")
+    >>> instance_name("router-1.ab12")
     'router-1'
     """
     return incarnation.rpartition(".")[0]
--- a/whinrack/gossip/tests/test_draw_coordinator.py
+++ b/whinrack/gossip/tests/test_draw_coordinator.py
@@ -74,7 +74,7 @@
     """Return the coordinator of m1; a peer m0 would be the account's writer."""
     monkeypatch.setattr("whinrack.gossip._draw_coordinator.steady", lambda: 0.0)
     monkeypatch.setattr(
-        "whinrack.gossip._draw_coordinator.rendezvous", lambda key, names: sorted(names)
+        "whinrack.gossip._draw_coordinator.rendezvous_order", lambda key, names: sorted(names)
     )
     peers, link, books = PeerTable("m1", 1.0, 10.0), Link(), Books()
     own_state = lambda: beat("m1", bandwidth=HIGH_BANDWIDTH).state  # noqa: E731
