--- a/whinrack/cli/tests/test_quarantine.py
+++ b/whinrack/cli/tests/test_quarantine.py
@@ -19,7 +19,7 @@
     def send_to_all(self, cases):
         self.sent_cases += cases
 
-    def reaches_store(self):
+    def is_store_reachable(self):
         return False
 
     def schedule_save(self):
--- a/whinrack/dispatch/_dispatcher.py
+++ b/whinrack/dispatch/_dispatcher.py
@@ -250,7 +250,7 @@
         if run.attempts >= run.route.max_attempts:
             self.metrics.retries_denied.labels("attempts").inc()
             return False
-        if not retry_budget.try_take(steady(), self.instance_count()):
+        if not retry_budget.try_acquire(steady(), self.instance_count()):
             self.metrics.retries_denied.labels("budget").inc()
             return False
         self.metrics.retries.labels(failed.refusal.code).inc()
--- a/whinrack/dispatch/_retries.py
+++ b/whinrack/dispatch/_retries.py
@@ -23,9 +23,9 @@
     Examples
     --------
     >>> allowance = RetryBudget(ratio=0.0, slack=2.0, window=10.0)
-    >>> allowance.try_take(0.0, instances=1), allowance.try_take(0.1, instances=1)
+    >>> allowance.try_acquire(0.0, instances=1), allowance.try_acquire(0.1, instances=1)
     (True, False)
-    >>> allowance.try_take(10.2, instances=1)
+    >>> allowance.try_acquire(10.2, instances=1)
     True
     """
 
@@ -47,7 +47,7 @@
         allowed = self.ratio * len(self._requests) + self.slack / max(1, instances)
         return len(self._retries) + 1 <= max(1.0, allowed * _SAFETY_FACTOR)
 
-    def try_take(self, now: float, instances: int) -> bool:
+    def try_acquire(self, now: float, instances: int) -> bool:
         """Take a permit for one retry if available.
 
         Returns
--- a/whinrack/dispatch/tests/test_decisions.py
+++ b/whinrack/dispatch/tests/test_decisions.py
@@ -220,10 +220,10 @@
     budget = RetryBudget(ratio=0.2, slack=0.0, window=10.0)
     for _ in range(100):
         budget.record_request(0.0)
-    permitted = sum(budget.try_take(1.0, instances=3) for _ in range(50))
+    permitted = sum(budget.try_acquire(1.0, instances=3) for _ in range(50))
     assert 1 <= permitted <= 20
-    assert not budget.try_take(2.0, instances=3)
-    assert budget.try_take(11.5, instances=3), "one retry is always permitted"
+    assert not budget.try_acquire(2.0, instances=3)
+    assert budget.try_acquire(11.5, instances=3), "one retry is always permitted"
 
 
 @pytest.mark.parametrize("size", [1, 2, 3, 7, 1000])
--- a/whinrack/edge/_suspects.py
+++ b/whinrack/edge/_suspects.py
@@ -128,7 +128,7 @@
 
     # --- the store ------------------------------------------------------------------
 
-    def reaches_store(self) -> bool:
+    def is_store_reachable(self) -> bool:
         """Return whether the store answers calls of this instance."""
         return self.availability.is_available
 
--- a/whinrack/edge/_upkeep.py
+++ b/whinrack/edge/_upkeep.py
@@ -19,7 +19,7 @@
 
     Parameters
     ----------
-    output : BoundedOutput
+    output : BoundedLogWriter
     traffic : TrafficMeter
     store : MeteredStore
     link : GossipLink
--- a/whinrack/edge/tests/test_shared_retries.py
+++ b/whinrack/edge/tests/test_shared_retries.py
@@ -65,7 +65,7 @@
             budget = RetryBudget(_RATIO, _SLACK, _WINDOW)
             for _ in range(_REQUESTS):
                 budget.record_request(self.now)
-            while budget.try_take(self.now, member.count_sharing_instances()):
+            while budget.try_acquire(self.now, member.count_sharing_instances()):
                 taken += 1
         return taken
 
--- a/whinrack/quarantine/_quarantine.py
+++ b/whinrack/quarantine/_quarantine.py
@@ -41,7 +41,7 @@
         """Send cases to all instances."""
         raise NotImplementedError
 
-    def reaches_store(self) -> bool:
+    def is_store_reachable(self) -> bool:
         """Return whether the store answers calls of this instance."""
         raise NotImplementedError
 
@@ -55,7 +55,7 @@
 
     Parameters
     ----------
-    case_store : CaseArchive
+    case_store : CaseStore
     host : QuarantineHost
     wall_clock : callable
         Returns the Unix time in seconds.
@@ -107,7 +107,7 @@
         bool
             Whether this instance has claimed the trial.
         """
-        if not self.host.reaches_store():
+        if not self.host.is_store_reachable():
             # The caller would only wait for a call to the store that fails.
             return False
         claimed = self.case_store.claim_trial(case)
--- a/whinrack/quarantine/tests/test_quarantine.py
+++ b/whinrack/quarantine/tests/test_quarantine.py
@@ -30,7 +30,7 @@
             if missing:
                 self.quarantine.merge_cases(missing, peer.name)
 
-    def reaches_store(self):
+    def is_store_reachable(self):
         return self.store_answers
 
     def schedule_save(self):
