--- a/examples/books.py
+++ b/examples/books.py
@@ -29,7 +29,7 @@
     entry = account.budgets["clachan"]
     print("billed", entry.billed, "outstanding", entry.outstanding, "free", entry.free)
 
-    release_holder(account, "clachan", "router-1.x", served=0)
+    release_holder(account, "clachan", "router-1.x", spent_tokens=0)
     print("free after an operator's word:", entry.free)
 
 
--- a/whinrack/budgets/_release.py
+++ b/whinrack/budgets/_release.py
@@ -54,13 +54,13 @@
 
 
 def release_holder(
-    account: BudgetAccount | None, budget: str, holder: str, served: int | None
+    account: BudgetAccount | None, budget: str, holder: str, spent_tokens: int | None
 ) -> BudgetAccount | None:
     """Close the row of an incarnation that an operator declares ended for good.
 
     Parameters
     ----------
-    served : int or None
+    spent_tokens : int or None
         Outstanding tokens that the operator knows to be spent; the rest becomes free. None if
         nothing is known: all of them are withdrawn from use.
 
@@ -73,7 +73,7 @@
     row = entry.rows.get(holder) if entry is not None else None
     if row is None or row.closed:
         return None
-    _close_row(row, row.outstanding if served is None else min(served, row.outstanding))
+    _close_row(row, row.outstanding if spent_tokens is None else min(spent_tokens, row.outstanding))
     return account
 
 
--- a/whinrack/edge/_upkeep.py
+++ b/whinrack/edge/_upkeep.py
@@ -36,11 +36,11 @@
 
     def write_logs_forever(self) -> None:
         """Write buffered lines; log dropped lines and suspensions of the machine."""
-        sleep_watch = SuspendDetector()
+        suspend_detector = SuspendDetector()
         while True:
-            slept = sleep_watch.take_suspended_seconds()
-            if slept:
-                log_event(Event.MACHINE_SUSPENDED, seconds=round(slept, 3))
+            suspended_seconds = suspend_detector.take_suspended_seconds()
+            if suspended_seconds:
+                log_event(Event.MACHINE_SUSPENDED, seconds=round(suspended_seconds, 3))
             self.output.write_pending()
             if self.output.dropped_lines > self._reported_drops:
                 log_event(
