--- a/benchmarks/bench_fleet.py
+++ b/benchmarks/bench_fleet.py
@@ -7,7 +7,7 @@
 import psutil
 
 from benchmarks.report import fit, percentile, report, section
-from tests.support import new_fleet
+from tests.support import start_fleet
 
 ROUTERS = 8
 CHANGES = 40
@@ -124,7 +124,7 @@
     section("control: an idle daemon's CPU and memory by the size of the fleet")
     points = []
     for size in sizes:
-        with new_fleet(routers=size, engines=("e1",), settings=DEFAULTS) as fleet:
+        with start_fleet(routers=size, engines=("e1",), settings=DEFAULTS) as fleet:
             process = psutil.Process(fleet.routers[0].popen.pid)
             time.sleep(3.0)
             before = sum(process.cpu_times()[:2])
@@ -143,7 +143,7 @@
     measure_idle()
     halls = (("south", "a"), ("south", "b"), ("south", "c"))
     engines = ("e1", "e2", "e3", "e4")
-    with new_fleet(
+    with start_fleet(
         routers=ROUTERS, engines=engines, budget=10**9, halls=halls, settings=DEFAULTS
     ) as fleet:
         for name in engines:
--- a/benchmarks/bench_load.py
+++ b/benchmarks/bench_load.py
@@ -10,7 +10,7 @@
 import psutil
 
 from benchmarks.report import percentile, report, section
-from tests.support import declare_target, new_fleet
+from tests.support import declare_target, start_fleet
 
 TOKENS = 20
 TOKEN_DELAY = 0.01
@@ -82,7 +82,7 @@
 
 def main():
     """Offer interactive work alone, then all of it, then interactive work again."""
-    with new_fleet(routers=3, engines=("e1", "e2"), budget=10**9) as fleet:
+    with start_fleet(routers=3, engines=("e1", "e2"), budget=10**9) as fleet:
         for name in ("e1", "e2"):
             fleet.targets[name].fault(token_delay=TOKEN_DELAY)
             declare_target(fleet, name, "chat", fleet.targets[name], max_concurrency=4)
--- a/benchmarks/bench_router.py
+++ b/benchmarks/bench_router.py
@@ -11,7 +11,7 @@
 import psutil
 
 from benchmarks.report import percentile, report, section
-from tests.support import new_fleet
+from tests.support import start_fleet
 
 REQUESTS = 600
 STREAMS = 50
@@ -134,7 +134,7 @@
 
 def main():
     """Measure one router."""
-    with new_fleet(routers=1, budget=10**9, settings=SETTINGS) as fleet:
+    with start_fleet(routers=1, budget=10**9, settings=SETTINGS) as fleet:
         router, engine = fleet.routers[0], fleet.targets["e1"]
         fleet.put("TargetPool", "chat", {"models": ["m"], "max_output_tokens": 2000})
         fleet.put(
--- a/tests/support.py
+++ b/tests/support.py
@@ -14,7 +14,7 @@
     "budget_entry",
     "declare",
     "in_parallel",
-    "new_fleet",
+    "start_fleet",
     "stream_text",
     "wait_until",
 ]
@@ -64,7 +64,7 @@
         return router.call("POST", path, value or {"text": "hi"}, self.headers(**headers))
 
 
-def new_fleet(routers=3, engines=("e1",), services=("s1",), budget=100_000, settings=None, **kw):
+def start_fleet(routers=3, engines=("e1",), services=("s1",), budget=100_000, settings=None, **kw):
     """Start a fleet with one workspace `w`, budget `b`, pools `chat` and `board`."""
     merged = {name: dict(values) for name, values in FAST.items()}
     for section, values in (settings or {}).items():
@@ -158,7 +158,7 @@
 
     @pytest.fixture(scope="module")
     def fleet():
-        with new_fleet(**options) as started:
+        with start_fleet(**options) as started:
             yield started
 
     return fleet
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -6,12 +6,12 @@
 
 import pytest
 
-from tests.support import FAST, in_parallel, new_fleet, wait_until
+from tests.support import FAST, in_parallel, start_fleet, wait_until
 
 
 @pytest.fixture
 def fleet():
-    with new_fleet(engines=(), services=("s1",)) as started:
+    with start_fleet(engines=(), services=("s1",)) as started:
         yield started
 
 
@@ -122,7 +122,7 @@
         "platform": {"watch_wait": "1"},
     }
     halls = (("south", "a"), ("south", "b"))
-    with new_fleet(routers=8, engines=(), halls=halls, settings=settings) as fleet:
+    with start_fleet(routers=8, engines=(), halls=halls, settings=settings) as fleet:
         wait_until(lambda: sum(fleet.status(router)["watching"] for router in fleet.routers) == 2)
         change = lambda: fleet.put("Workspace", "w", {"weighting": "false_refusals"})  # noqa: E731
         began = time.monotonic()
--- a/tests/test_connections.py
+++ b/tests/test_connections.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from tests.support import expected_text, new_fleet, stream_text
+from tests.support import expected_text, start_fleet, stream_text
 
 IDLE = 10_000
 HEADER_SECONDS = 4.0
@@ -20,7 +20,7 @@
     _, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     resource.setrlimit(resource.RLIMIT_NOFILE, (hard, hard))
     settings = {"http": {"header_timeout": str(HEADER_SECONDS)}}
-    with new_fleet(routers=1, settings=settings) as started:
+    with start_fleet(routers=1, settings=settings) as started:
         yield started
 
 
--- a/tests/test_golden.py
+++ b/tests/test_golden.py
@@ -10,7 +10,7 @@
 import pytest
 
 from tests.sessions import SESSIONS
-from tests.support import new_fleet, wait_until
+from tests.support import start_fleet, wait_until
 
 GOLDEN = pathlib.Path(__file__).parent / "golden"
 
@@ -47,7 +47,7 @@
     def note(title, answer):
         lines.append(f"--- {title}\n{transcript(answer)}")
 
-    with new_fleet(routers=2, budget=1000) as fleet:
+    with start_fleet(routers=2, budget=1000) as fleet:
         one, two = fleet.routers
         caller = fleet.caller
         usage = {"stream": True, "stream_options": {"include_usage": True}}
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -9,7 +9,7 @@
 from tests.support import (
     budget_entry,
     expected_text,
-    new_fleet,
+    start_fleet,
     stream_text,
     wait_until,
 )
@@ -63,7 +63,7 @@
 
 @pytest.fixture
 def fleet():
-    with new_fleet(engines=("e1", "e2"), settings={"stop": {"linger": "1.5"}}) as started:
+    with start_fleet(engines=("e1", "e2"), settings={"stop": {"linger": "1.5"}}) as started:
         for name in ("e1", "e2"):
             started.targets[name].fault(token_delay=0.01)
         yield started
--- a/tests/test_once.py
+++ b/tests/test_once.py
@@ -12,7 +12,7 @@
     clean_faults,  # noqa: F401
     expected_text,
     in_parallel,
-    new_fleet,
+    start_fleet,
     stream_text,
     wait_until,
 )
@@ -23,14 +23,14 @@
 
 @pytest.fixture
 def fleet():
-    with new_fleet() as started:
+    with start_fleet() as started:
         yield started
 
 
 @pytest.fixture
 def agreeing_fleet():
     """A fleet whose instances agree on who is there."""
-    with new_fleet(settings=_PATIENT) as started:
+    with start_fleet(settings=_PATIENT) as started:
         yield started
 
 
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -11,7 +11,7 @@
 from cryptography.hazmat.primitives.asymmetric import ec
 from grpclib.client import Channel
 
-from tests.support import FLEET_KEY, new_fleet, wait_until
+from tests.support import FLEET_KEY, start_fleet, wait_until
 from whinrack.peers._pb import peer_pb2
 from whinrack.peers._pb.peer_grpc import PeerStub
 
@@ -21,7 +21,7 @@
 
 
 def test_a_peer_with_another_key_is_refused_and_counted():
-    with new_fleet(routers=2, engines=()) as fleet:
+    with start_fleet(routers=2, engines=()) as fleet:
         stranger = fleet.start_router("stranger", peer={"fleet_key": "another-key-of-some-length"})
         wait_until(lambda: refused(fleet, fleet.routers[0]) > 0)
         assert "stranger" not in fleet.status(fleet.routers[0])["members"]
@@ -29,7 +29,7 @@
 
 
 def test_neither_keys_nor_callers_text_reach_the_logs():
-    with new_fleet(routers=2, settings={"logs": {"level": "DEBUG", "format": "json"}}) as fleet:
+    with start_fleet(routers=2, settings={"logs": {"level": "DEBUG", "format": "json"}}) as fleet:
         for router in fleet.routers:
             fleet.caller.chat(router, text="a secret sentence", key="idem-secret")
         fleet.caller.chat(fleet.routers[0], text="a secret sentence", max_tokens=-1)
@@ -61,7 +61,7 @@
 
 
 def test_mutual_tls_lets_in_only_peers_with_a_certificate(certificates):
-    with new_fleet(routers=2, engines=(), settings={"peer": certificates}) as fleet:
+    with start_fleet(routers=2, engines=(), settings={"peer": certificates}) as fleet:
         for router in fleet.routers:
             assert len(fleet.status(router)["members"]) == 1
         plain = dict.fromkeys(certificates, "")
@@ -110,7 +110,7 @@
         finally:
             channel.close()
 
-    with new_fleet(routers=1, engines=()) as fleet:
+    with start_fleet(routers=1, engines=()) as fleet:
         router = fleet.routers[0]
         assert asyncio.run(follow(router.peer_address)) <= 4
         assert router.call("GET", "/readyz", timeout=2.0).status == 200
--- a/tests/test_spend.py
+++ b/tests/test_spend.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from tests.support import budget_entry, in_parallel, new_fleet, wait_until
+from tests.support import budget_entry, in_parallel, start_fleet, wait_until
 
 BUDGET = 4000
 # A budget is used up within this time at any speed, seconds; and seconds between two looks.
@@ -100,7 +100,7 @@
 
 @pytest.mark.parametrize("fault", FAULTS)
 def test_no_token_is_served_beyond_the_budget(fault):
-    with new_fleet(budget=BUDGET, engines=("e1", "e2")) as fleet:
+    with start_fleet(budget=BUDGET, engines=("e1", "e2")) as fleet:
         for engine in fleet.targets.values():
             if engine.name.startswith("e"):
                 engine.fault(token_delay=0.002)
@@ -125,7 +125,7 @@
     """Two regions lose each other and the platform; both keep serving from their grants."""
     halls = (("north", "a"), ("south", "b"))
     settings = {"budgets": {"horizon": "20"}}
-    with new_fleet(
+    with start_fleet(
         routers=2, budget=3000, engines=("e1",), halls=halls, settings=settings
     ) as fleet:
         for _ in range(8):
@@ -145,7 +145,7 @@
 
 
 def test_what_a_killed_holder_held_stays_out_of_use_until_an_operator_speaks():
-    with new_fleet(routers=2, budget=5000) as fleet:
+    with start_fleet(routers=2, budget=5000) as fleet:
         assert fleet.caller.stream(fleet.routers[1]).status == 200
         wait_until(lambda: any(h["billed"] for h in budget_entry(fleet)["holders"]))
         held = fleet.status(fleet.routers[1])["incarnation"]
@@ -159,7 +159,7 @@
 
 
 def test_a_planned_stop_loses_no_token():
-    with new_fleet(routers=2, budget=5000) as fleet:
+    with start_fleet(routers=2, budget=5000) as fleet:
         for router in fleet.routers:
             assert fleet.caller.stream(router).status == 200
         for router in fleet.routers:
