--- a/tests/support.py
+++ b/tests/support.py
@@ -11,15 +11,15 @@
 __all__ = [
     "FLEET_KEY",
     "Caller",
-    "budget_entry",
-    "declare",
-    "in_parallel",
+    "declare_objects",
+    "read_budget",
+    "run_in_parallel",
     "start_fleet",
     "stream_text",
     "wait_until",
 ]
 
-FAST = {
+FAST_SETTINGS = {
     "membership": {"heartbeat_interval": "0.2", "suspect_after": "1.0", "list_interval": "0.3"},
     "budgets": {"check_interval": "0.3", "report_after": "0", "horizon": "5", "gather_wait": "0.3"},
     "journal": {"commit_interval": "0.02"},
@@ -33,7 +33,7 @@
     def __init__(self, bearer):
         self.bearer = bearer
 
-    def headers(self, **more):
+    def headers(self, **values):
         """Return headers; `key`, `ticket`, `repeatable` and others by short names."""
         names = {
             "key": "Idempotency-Key",
@@ -42,7 +42,7 @@
             "deadline": "Whinrack-Deadline",
             "kind": "Whinrack-Class",
         }
-        fields = {names[name]: value for name, value in more.items()}
+        fields = {names[name]: value for name, value in values.items()}
         return {"Authorization": f"Bearer {self.bearer}", **fields}
 
     def chat(self, router, text="one two three", max_tokens=10, fields=None, **headers):
@@ -64,19 +64,21 @@
         return router.call("POST", path, value or {"text": "hi"}, self.headers(**headers))
 
 
-def start_fleet(routers=3, engines=("e1",), services=("s1",), budget=100_000, settings=None, **kw):
+def start_fleet(
+    routers=3, engines=("e1",), services=("s1",), budget=100_000, settings=None, **fleet_options
+):
     """Start a fleet with one workspace `w`, budget `b`, pools `chat` and `board`."""
-    merged = {name: dict(values) for name, values in FAST.items()}
+    merged = {name: dict(values) for name, values in FAST_SETTINGS.items()}
     for section, values in (settings or {}).items():
         merged.setdefault(section, {}).update(values)
-    fleet = LocalFleet(settings=merged, **kw)
+    fleet = LocalFleet(settings=merged, **fleet_options)
     try:
         fleet.start_platform()
         for name in engines:
             fleet.start_engine(name)
         for name in services:
             fleet.start_service(name)
-        fleet.caller = declare(fleet, budget)
+        fleet.caller = declare_objects(fleet, budget)
         fleet.start_routers(routers)
         fleet.wait_config()
     except BaseException:
@@ -85,7 +87,7 @@
     return fleet
 
 
-def declare(fleet, budget):
+def declare_objects(fleet, budget):
     """Write the objects of a small fleet; returns a caller."""
     bearer, key = make_key("k", "w", "b")
     fleet.put("Workspace", "w", {})
@@ -107,12 +109,12 @@
     fleet.put("Target", name, spec)
 
 
-def budget_entry(fleet, name="b"):
+def read_budget(fleet, name="b"):
     """Return a budget's books as the command line shows them."""
     return json.loads(fleet.whinrack("budget", "show", name, "--output", "json").stdout)
 
 
-def bill(fleet):
+def read_bill(fleet):
     """Return the bill of workspace `w`, None if there is none."""
     return json.loads(fleet.whinrack("bill", "--output", "json").stdout).get("w")
 
@@ -135,7 +137,7 @@
     return "".join(f"{words[index % len(words)]}-{index} " for index in range(count))
 
 
-def in_parallel(*functions):
+def run_in_parallel(*functions):
     """Run functions in threads; returns results or exceptions in order."""
     results = [None] * len(functions)
 
@@ -153,7 +155,7 @@
     return results
 
 
-def fleet_fixture(**options):
+def make_fleet_fixture(**options):
     """Make a module fixture that gives a fleet."""
 
     @pytest.fixture(scope="module")
@@ -165,7 +167,7 @@
 
 
 @pytest.fixture
-def clean_faults(fleet):
+def reset_faults(fleet):
     """Reset the faults of all stand-ins after a test."""
     yield
     fleet.platform.fault(down=False, delay=0.0, lose_replies=0, watch_lag=0.0, list_lag=0.0)
--- a/tests/test_callers.py
+++ b/tests/test_callers.py
@@ -10,24 +10,24 @@
 import pytest
 
 from tests.support import (
-    clean_faults,  # noqa: F401
     expected_text,
-    fleet_fixture,
-    in_parallel,
+    make_fleet_fixture,
+    reset_faults,  # noqa: F401
+    run_in_parallel,
     stream_text,
     wait_until,
 )
 
-fleet = fleet_fixture(routers=2, settings={"http": {"body_timeout": "0.5"}})
+fleet = make_fleet_fixture(routers=2, settings={"http": {"body_timeout": "0.5"}})
 
 
-def open_cover(fleet):
+def open_cover_tokens(fleet):
     return sum(
         grant["open_cover"] for router in fleet.routers for grant in fleet.status(router)["grants"]
     )
 
 
-def client(fleet, **options):
+def openai_client(fleet, **options):
     router = fleet.routers[0]
     return openai.OpenAI(
         base_url=f"http://{router.address}/v1", api_key=fleet.caller.bearer, **options
@@ -38,7 +38,7 @@
 
 
 def test_the_openai_client_streams(fleet):
-    stream = client(fleet).chat.completions.create(
+    stream = openai_client(fleet).chat.completions.create(
         model="m",
         messages=[{"role": "user", "content": "alpha beta"}],
         max_tokens=5,
@@ -51,12 +51,12 @@
     assert chunks[-1].usage.total_tokens == 7
 
 
-def test_the_openai_client_gets_whole_answers_and_models(fleet):
-    answer = client(fleet).chat.completions.create(
+def test_the_openai_client_gets_complete_answers_and_models(fleet):
+    answer = openai_client(fleet).chat.completions.create(
         model="m", messages=[{"role": "user", "content": "alpha"}], max_completion_tokens=3
     )
     assert answer.choices[0].message.content == expected_text("alpha", 3)
-    assert [model.id for model in client(fleet).models.list()] == ["m"]
+    assert [model.id for model in openai_client(fleet).models.list()] == ["m"]
 
 
 def test_the_openai_client_raises_its_own_errors(fleet):
@@ -65,12 +65,12 @@
         wrong.models.list()
     assert raised.value.code == "invalid_api_key"
     with pytest.raises(openai.BadRequestError) as raised:
-        client(fleet).chat.completions.create(
+        openai_client(fleet).chat.completions.create(
             model="m", messages=[{"role": "user", "content": "a"}], max_tokens=10**9
         )
     assert raised.value.param == "max_tokens"
     with pytest.raises(openai.NotFoundError):
-        client(fleet).chat.completions.create(
+        openai_client(fleet).chat.completions.create(
             model="none", messages=[{"role": "user", "content": "a"}]
         )
 
@@ -79,7 +79,7 @@
     router = fleet.routers[0]
     before = fleet.counters(router).get('whinrack_refusals_total{reason="budget_exhausted"}', 0)
     with pytest.raises(openai.APIStatusError) as raised:
-        client(fleet, max_retries=3).chat.completions.create(
+        openai_client(fleet, max_retries=3).chat.completions.create(
             model="m", messages=[{"role": "user", "content": "a " * 60_000}], max_tokens=2
         )
     assert raised.value.status_code == 402
@@ -89,33 +89,33 @@
 
 # --- bad input ---------------------------------------------------------------------------
 
-GOOD = {"model": "m", "messages": [{"role": "user", "content": "a"}]}
-BAD_BODIES = [
+VALID_BODY = {"model": "m", "messages": [{"role": "user", "content": "a"}]}
+INVALID_BODIES = [
     (b"", 400),
     (b"{", 400),
     (b"[]", 400),
     (b"\xff\xfe", 400),
     (b'{"model": "m", "messages": [], "max_tokens": 1}', 400),
-    (json.dumps({**GOOD, "max_tokens": -1}).encode(), 400),
-    (json.dumps({**GOOD, "max_tokens": 0}).encode(), 400),
-    (json.dumps({**GOOD, "max_tokens": 1.5}).encode(), 400),
-    (json.dumps({**GOOD, "max_tokens": "7"}).encode(), 400),
-    (json.dumps({**GOOD, "max_tokens": float("nan")}).encode(), 400),
-    (json.dumps({**GOOD, "max_tokens": 10**30}).encode(), 400),
-    (json.dumps({**GOOD, "n": -2}).encode(), 400),
-    (json.dumps({**GOOD, "n": 10**6}).encode(), 400),
-    (json.dumps({**GOOD, "stream": "yes"}).encode(), 400),
-    (json.dumps({**GOOD, "messages": "hi"}).encode(), 400),
-    (json.dumps({**GOOD, "model": ["m"]}).encode(), 400),
-    (json.dumps({**GOOD, "model": "none"}).encode(), 404),
-    (json.dumps({**GOOD, "best_of": 9}).encode(), 400),
+    (json.dumps({**VALID_BODY, "max_tokens": -1}).encode(), 400),
+    (json.dumps({**VALID_BODY, "max_tokens": 0}).encode(), 400),
+    (json.dumps({**VALID_BODY, "max_tokens": 1.5}).encode(), 400),
+    (json.dumps({**VALID_BODY, "max_tokens": "7"}).encode(), 400),
+    (json.dumps({**VALID_BODY, "max_tokens": float("nan")}).encode(), 400),
+    (json.dumps({**VALID_BODY, "max_tokens": 10**30}).encode(), 400),
+    (json.dumps({**VALID_BODY, "n": -2}).encode(), 400),
+    (json.dumps({**VALID_BODY, "n": 10**6}).encode(), 400),
+    (json.dumps({**VALID_BODY, "stream": "yes"}).encode(), 400),
+    (json.dumps({**VALID_BODY, "messages": "hi"}).encode(), 400),
+    (json.dumps({**VALID_BODY, "model": ["m"]}).encode(), 400),
+    (json.dumps({**VALID_BODY, "model": "none"}).encode(), 404),
+    (json.dumps({**VALID_BODY, "best_of": 9}).encode(), 400),
     (b"[" * 100_000, 400),
     (b"x" * 1_100_000, 413),
 ]
 
 
-@pytest.mark.parametrize(("body", "status"), BAD_BODIES)
-def test_bad_bodies_are_refused_in_milliseconds_and_reserve_nothing(fleet, body, status):
+@pytest.mark.parametrize(("body", "status"), INVALID_BODIES)
+def test_invalid_bodies_are_refused_quickly_and_reserve_nothing(fleet, body, status):
     url = f"http://{fleet.routers[0].address}/v1/chat/completions"
     began = time.monotonic()
     answer = httpx.post(url, content=body, headers=fleet.caller.headers())
@@ -124,7 +124,7 @@
     assert answer.json()["error"]["code"]
     assert b"Traceback" not in answer.content
     assert answer.headers["whinrack-outcome"] == "not_run"
-    assert open_cover(fleet) == 0
+    assert open_cover_tokens(fleet) == 0
 
 
 @pytest.mark.parametrize(
@@ -138,11 +138,11 @@
         {"key": "x" * 300},
     ],
 )
-def test_bad_headers_are_refused_with_their_name(fleet, headers):
+def test_invalid_headers_are_refused_by_name(fleet, headers):
     answer = fleet.caller.chat(fleet.routers[0], **headers)
     assert answer.status == 400
     assert json.loads(answer.data)["error"]["param"]
-    assert open_cover(fleet) == 0
+    assert open_cover_tokens(fleet) == 0
 
 
 @pytest.mark.parametrize("path", ["/nothing", "/v1/../etc", "/services/none/x", "/v1/status"])
@@ -151,7 +151,7 @@
     assert answer.status in (401, 404)
 
 
-def test_a_slow_body_is_given_up(fleet):
+def test_a_slow_request_body_times_out(fleet):
     router = fleet.routers[0]
     host, port = router.address.split(":")
     with socket.create_connection((host, int(port)), timeout=15) as sock:
@@ -167,7 +167,7 @@
 # --- whole answers ---------------------------------------------------------------------
 
 
-def test_a_streamed_answer_says_what_became_of_it(fleet):
+def test_a_streamed_answer_reports_its_outcome(fleet):
     answer = fleet.caller.stream(fleet.routers[0])
     assert stream_text(answer) == expected_text("one two three", 10)
     assert answer.headers["Whinrack-Outcome"] == "ran"
@@ -176,19 +176,19 @@
     assert b'"usage"' not in answer.data
 
 
-@pytest.mark.usefixtures("clean_faults")
-def test_a_cut_stream_is_taken_up_again_and_comes_whole(fleet):
+@pytest.mark.usefixtures("reset_faults")
+def test_an_interrupted_stream_is_resumed_and_completed(fleet):
     fleet.targets["e1"].fault(cut_after=4)
     answer = fleet.caller.stream(fleet.routers[0])
     assert stream_text(answer) == expected_text("one two three", 10)
     assert len([s for s in fleet.targets["e1"].starts() if s["id"] in str(answer.headers)]) == 1
 
 
-@pytest.mark.usefixtures("clean_faults")
+@pytest.mark.usefixtures("reset_faults")
 @pytest.mark.parametrize(
     "faults", [{"foreign_id": True}, {"duplicate": True}, {"overrun": 50}, {"cut_after": 0}]
 )
-def test_a_wrong_stream_is_never_shown_as_whole(fleet, faults):
+def test_an_invalid_stream_is_never_reported_as_complete(fleet, faults):
     fleet.targets["e1"].fault(**faults)
     answer = fleet.caller.stream(fleet.routers[0])
     if faults.get("cut_after") == 0 and answer.status == 200:
@@ -199,9 +199,9 @@
     assert b'"error"' in answer.data
 
 
-@pytest.mark.usefixtures("clean_faults")
+@pytest.mark.usefixtures("reset_faults")
 @pytest.mark.parametrize("faults", [{"foreign_id": True}, {"cut_after": 0}])
-def test_a_wrong_whole_answer_is_dropped(fleet, faults):
+def test_an_invalid_non_streamed_answer_is_dropped(fleet, faults):
     fleet.targets["e1"].fault(**faults)
     answer = fleet.caller.chat(fleet.routers[0])
     assert answer.status == 502
@@ -209,12 +209,12 @@
     assert b"chatcmpl-other" not in answer.data
 
 
-@pytest.mark.usefixtures("clean_faults")
-def test_a_hang_up_cancels_at_the_engine_and_settles(fleet):
+@pytest.mark.usefixtures("reset_faults")
+def test_a_disconnect_cancels_generation_and_settles_the_cover(fleet):
     fleet.targets["e1"].fault(token_delay=0.02)
     router = fleet.routers[0]
     host, port = router.address.split(":")
-    body = json.dumps({**GOOD, "max_tokens": 1000, "stream": True}).encode()
+    body = json.dumps({**VALID_BODY, "max_tokens": 1000, "stream": True}).encode()
     with socket.create_connection((host, int(port)), timeout=15) as sock:
         sock.sendall(
             b"POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\n"
@@ -225,11 +225,11 @@
         assert sock.recv(100).startswith(b"HTTP/1.1 200")
     last = wait_until(lambda: (s := fleet.targets["e1"].starts()[-1])["cancelled"] and s)
     assert last["generated"] < 500
-    wait_until(lambda: open_cover(fleet) == 0)
+    wait_until(lambda: open_cover_tokens(fleet) == 0)
 
 
-@pytest.mark.usefixtures("clean_faults")
-def test_busy_targets_are_told_with_when_to_come_back(fleet):
+@pytest.mark.usefixtures("reset_faults")
+def test_overloaded_targets_are_answered_with_retry_after(fleet):
     fleet.targets["e1"].fault(busy=True)
     answer = fleet.caller.chat(fleet.routers[0])
     assert answer.status == 503
@@ -237,8 +237,8 @@
     assert answer.headers["Whinrack-Outcome"] == "not_run"
 
 
-@pytest.mark.usefixtures("clean_faults")
-def test_an_engine_that_had_asked_for_a_rest_was_sent_to_again(fleet):
+@pytest.mark.usefixtures("reset_faults")
+def test_no_request_is_sent_to_an_engine_before_its_retry_after(fleet):
     engine = fleet.targets["e1"]
     engine.fault(busy=True, rest="3")
     assert fleet.caller.chat(fleet.routers[0]).status == 503
@@ -252,8 +252,8 @@
     assert fleet.caller.chat(fleet.routers[0]).status == 200
 
 
-@pytest.mark.usefixtures("clean_faults")
-def test_an_engine_whose_report_said_that_it_leaves_was_sent_to(fleet):
+@pytest.mark.usefixtures("reset_faults")
+def test_no_request_is_sent_to_an_engine_that_reports_leaving(fleet):
     engine, router = fleet.targets["e1"], fleet.routers[0]
     engine.fault(leaving=True)
     wait_until(lambda: fleet.caller.chat(router).status == 503)
@@ -264,7 +264,7 @@
 # --- plain services ----------------------------------------------------------------------
 
 
-def test_a_service_gets_body_and_headers_whole(fleet):
+def test_a_service_receives_body_and_headers_unchanged(fleet):
     body = bytes(range(256)) * 1000
     answer = httpx.post(
         f"http://{fleet.routers[0].address}/services/board/a%20b/c?d=e&f",
@@ -285,17 +285,17 @@
     assert (first.status, second.status, third.status) == (200, 409, 409)
 
 
-@pytest.mark.usefixtures("clean_faults")
-def test_connections_to_targets_are_used_again_without_a_failure(fleet):
+@pytest.mark.usefixtures("reset_faults")
+def test_reused_target_connections_cause_no_retries(fleet):
     """Found by a load test: the end of a stream was left unread on a reused connection."""
     router = fleet.routers[1]
     fleet.targets["e1"].fault(token_delay=0.002)
 
-    def send_some():
+    def send_streams():
         for number in range(25):
             answer = fleet.caller.stream(router, text=f"text {number}")
             assert stream_text(answer) == expected_text(f"text {number}", 10)
         return "done"
 
-    assert in_parallel(*[send_some] * 4) == ["done"] * 4
+    assert run_in_parallel(*[send_streams] * 4) == ["done"] * 4
     assert not [name for name in fleet.counters(router) if "retries_total" in name]
--- a/tests/test_catalogues.py
+++ b/tests/test_catalogues.py
@@ -9,14 +9,14 @@
 ROOT = pathlib.Path(__file__).resolve().parent.parent
 
 
-def rows(page):
+def table_rows(page):
     text = (ROOT / "docs" / page).read_text()
     return [line.split("|")[1:-1] for line in text.splitlines() if line.startswith("| ")]
 
 
-def test_every_event_is_in_the_catalogue_and_the_other_way_round():
+def test_catalogue_lists_exactly_the_events():
     listed = {
-        (int(row[0]), row[1].strip()) for row in rows("events.md") if row[0].strip().isdigit()
+        (int(row[0]), row[1].strip()) for row in table_rows("events.md") if row[0].strip().isdigit()
     }
     assert listed == {(event.number, event.name.lower()) for event in Event}
     assert len({event.number for event in Event}) == len(list(Event))
@@ -28,8 +28,10 @@
     assert unused == []
 
 
-def test_every_metric_is_in_the_catalogue_and_the_other_way_round():
-    listed = {row[0].strip().strip("`") for row in rows("metrics.md") if "whinrack_" in row[0]}
+def test_catalogue_lists_exactly_the_metrics():
+    listed = {
+        row[0].strip().strip("`") for row in table_rows("metrics.md") if "whinrack_" in row[0]
+    }
     made = {metric.name for metric in Metrics().registry.collect()}
     assert listed == made
 
@@ -48,7 +50,7 @@
     assert len(codes) == len(set(codes))
 
 
-def test_links_between_pages_lead_somewhere():
+def test_links_between_pages_resolve():
     for page in [*ROOT.glob("*.md"), *(ROOT / "docs").rglob("*.md")]:
         for link in re.findall(r"\]\(([^)#:]+)\)", page.read_text()):
             assert (page.parent / link).exists(), f"{page.name}: {link}"
--- a/tests/test_clock.py
+++ b/tests/test_clock.py
@@ -9,7 +9,7 @@
 from whinrack import clock
 
 ROOT = pathlib.Path(__file__).resolve().parent.parent
-OTHER_CLOCKS = re.compile(r"\btime\.(monotonic|perf_counter|clock_gettime)|CLOCK_MONOTONIC")
+DIRECT_CLOCK_READS = re.compile(r"\btime\.(monotonic|perf_counter|clock_gettime)|CLOCK_MONOTONIC")
 
 
 def sources():
@@ -18,22 +18,22 @@
     return [*files, ROOT / "platform" / "main.py"]
 
 
-def test_nothing_else_reads_a_steady_clock():
+def test_only_the_clock_module_reads_a_monotonic_clock():
     own = pathlib.Path(clock.__file__)
     reading = [
         str(path)
         for path in sources()
-        if path != own and "tests" not in path.parts and OTHER_CLOCKS.search(path.read_text())
+        if path != own and "tests" not in path.parts and DIRECT_CLOCK_READS.search(path.read_text())
     ]
     assert reading == []
 
 
-def test_it_is_the_clock_that_counts_a_sleep():
+def test_the_clock_counts_suspended_time():
     assert abs(clock.steady() - time.clock_gettime(time.CLOCK_BOOTTIME)) < 0.1
 
 
 @pytest.fixture
-def offset(monkeypatch):
+def suspended_seconds(monkeypatch):
     """Let the machine be suspended for the seconds that are put into the list."""
     seconds = [0.0]
     monkeypatch.setattr(
@@ -42,9 +42,9 @@
     return seconds
 
 
-def test_a_sleep_is_noticed_once(offset):
+def test_a_suspension_is_reported_once(suspended_seconds):
     watch = clock.SleepWatch()
     assert watch.slept() == 0.0
-    offset[0] = 4.0
+    suspended_seconds[0] = 4.0
     assert 3.9 < watch.slept() < 4.1
     assert watch.slept() == 0.0
--- a/tests/test_command_line.py
+++ b/tests/test_command_line.py
@@ -16,7 +16,7 @@
     return CliRunner().invoke(main, [str(argument) for argument in arguments])
 
 
-def test_the_example_settings_and_programs_are_in_order():
+def test_the_example_settings_and_programs_are_valid():
     assert run("settings", "check", ROOT / "examples/router.ini").exit_code == 0
     assert run("policy", "check", ROOT / "examples/declarations/daytime.cel").exit_code == 0
 
@@ -31,7 +31,7 @@
     assert "free after an operator's word: 820" in books.stdout
 
 
-def test_a_policy_can_be_tried_outside_the_fleet(tmp_path):
+def test_a_policy_can_be_tried_without_a_fleet(tmp_path):
     sample = tmp_path / "sample.toml"
     sample.write_text('[request]\nrequest_class = "deferrable"\n[pools.small]\ntargets = 2\n')
     result = run("policy", "try", ROOT / "examples/declarations/daytime.cel", sample)
@@ -42,7 +42,7 @@
 
 
 @pytest.mark.parametrize(("text", "code"), [("[instance]\nname = X\n", 4), ("nothing", 4)])
-def test_wrong_settings_have_their_exit_code(tmp_path, text, code):
+def test_invalid_settings_have_their_exit_code(tmp_path, text, code):
     path = tmp_path / "r.ini"
     path.write_text(text)
     result = run("settings", "check", path)
@@ -50,7 +50,7 @@
     assert "invalid_settings" in result.stderr
 
 
-def test_a_platform_that_is_away_has_its_exit_code():
+def test_an_unreachable_platform_has_its_exit_code():
     assert run("get", "Workspace", "--platform", "127.0.0.1:1").exit_code == 5
 
 
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from tests.support import FAST, in_parallel, start_fleet, wait_until
+from tests.support import FAST_SETTINGS, run_in_parallel, start_fleet, wait_until
 
 
 @pytest.fixture
@@ -15,7 +15,7 @@
         yield started
 
 
-def version_of(fleet, router, name="Workspace/w"):
+def config_version(fleet, router, name="Workspace/w"):
     return fleet.status(router)["versions"][name]
 
 
@@ -23,7 +23,7 @@
     return fleet.platform.json("GET", "/v1/objects/Workspace/w")["version"]
 
 
-def test_a_change_is_in_force_everywhere_within_the_bar(fleet):
+def test_a_change_is_in_force_at_all_routers_within_two_seconds(fleet):
     seconds = []
     for number in range(10):
         state = ("false_refusals", "overspend")[number % 2]
@@ -34,14 +34,14 @@
     assert max(seconds) < 2.0
 
 
-def test_versions_never_go_back_while_watches_lag_and_operators_race(fleet):
+def test_versions_never_decrease_while_watches_lag(fleet):
     fleet.platform.fault(watch_lag=0.5)
-    seen = {router.name: [] for router in fleet.routers}
+    observed_versions = {router.name: [] for router in fleet.routers}
     ended = threading.Event()
 
     def follow(router):
         while not ended.is_set():
-            seen[router.name].append(version_of(fleet, router))
+            observed_versions[router.name].append(config_version(fleet, router))
 
     followers = [threading.Thread(target=follow, args=(router,)) for router in fleet.routers]
     for follower in followers:
@@ -54,7 +54,7 @@
     ended.set()
     for follower in followers:
         follower.join()
-    for versions in seen.values():
+    for versions in observed_versions.values():
         assert versions == sorted(versions)
         assert versions[-1] == stored_version(fleet)
 
@@ -63,29 +63,33 @@
     version = stored_version(fleet)
     fleet.platform.fault(down=True)
     fleet.routers[0].kill()
-    again = fleet.start_router("router-1")
-    assert version_of(fleet, again) == version
-    assert fleet.caller.post(again).status == 200
+    restarted = fleet.start_router("router-1")
+    assert config_version(fleet, restarted) == version
+    assert fleet.caller.post(restarted).status == 200
 
 
-def test_a_change_that_some_missed_reaches_them_after_an_outage(fleet):
+def test_a_missed_change_is_fetched_from_peers_during_an_outage(fleet):
     fleet.routers[1].freeze()
     fleet.put("Workspace", "w", {"weighting": "false_refusals"})
     fleet.platform.fault(down=True)
     fleet.routers[1].thaw()
     # The platform is away: only the peers can tell.
-    wait_until(lambda: version_of(fleet, fleet.routers[0]) == stored_now(fleet))
-    wait_until(lambda: version_of(fleet, fleet.routers[1]) == stored_now(fleet))
+    wait_until(
+        lambda: config_version(fleet, fleet.routers[0]) == read_stored_version_during_outage(fleet)
+    )
+    wait_until(
+        lambda: config_version(fleet, fleet.routers[1]) == read_stored_version_during_outage(fleet)
+    )
 
 
-def stored_now(fleet):
+def read_stored_version_during_outage(fleet):
     fleet.platform.fault(down=False)
     version = stored_version(fleet)
     fleet.platform.fault(down=True)
     return version
 
 
-def test_racing_operators_get_a_conflict_that_shows_both_sides(fleet, tmp_path):
+def test_concurrent_edits_cause_a_conflict_that_shows_both_versions(fleet, tmp_path):
     text = 'kind = "Workspace"\nname = "w"\n[spec]\nweighting = "false_refusals"\n'
     (tmp_path / "w.toml").write_text(text)
     read = json.loads(fleet.platform.call("GET", "/v1/objects?kinds=Workspace").data)["revision"]
@@ -104,7 +108,7 @@
     assert "W3002" in fleet.routers[0].log.read_text()
 
 
-def test_apply_after_a_lost_reply_is_done_once(fleet, tmp_path):
+def test_apply_is_idempotent_after_a_lost_reply(fleet, tmp_path):
     (tmp_path / "b.toml").write_text(
         'kind = "Budget"\nname = "c"\n[spec]\nworkspace = "w"\ntopups = [{id = "x", tokens = 70}]\n'
     )
@@ -118,7 +122,7 @@
 def test_eight_routers_agree_with_two_watchers_a_hall():
     # A short watch, so that those who started alone soon look whether they still should.
     settings = {
-        "membership": {**FAST["membership"], "watchers_per_hall": "1"},
+        "membership": {**FAST_SETTINGS["membership"], "watchers_per_hall": "1"},
         "platform": {"watch_wait": "1"},
     }
     halls = (("south", "a"), ("south", "b"))
@@ -126,6 +130,6 @@
         wait_until(lambda: sum(fleet.status(router)["watching"] for router in fleet.routers) == 2)
         change = lambda: fleet.put("Workspace", "w", {"weighting": "false_refusals"})  # noqa: E731
         began = time.monotonic()
-        in_parallel(change)
+        run_in_parallel(change)
         fleet.wait_config()
         assert time.monotonic() - began < 2.0
--- a/tests/test_connections.py
+++ b/tests/test_connections.py
@@ -9,9 +9,9 @@
 
 from tests.support import expected_text, start_fleet, stream_text
 
-IDLE = 10_000
+IDLE_CONNECTIONS = 10_000
 HEADER_SECONDS = 4.0
-HOPELESS_SECONDS = 30.0
+MAX_ANSWER_SECONDS = 30.0
 
 
 @pytest.fixture(scope="module")
@@ -37,10 +37,10 @@
     began = time.monotonic()
     answer = fleet.caller.stream(fleet.routers[0])
     assert stream_text(answer) == expected_text("one two three", 10)
-    assert time.monotonic() - began < HOPELESS_SECONDS
+    assert time.monotonic() - began < MAX_ANSWER_SECONDS
 
 
-def nothing_arrived(sock):
+def has_received_nothing(sock):
     """Whether the other side has neither sent anything nor closed."""
     sock.setblocking(False)
     try:
@@ -52,8 +52,8 @@
     return False
 
 
-def test_idle_connections_do_not_stop_others(fleet):
-    idle = [connect(fleet.routers[0]) for _ in range(IDLE)]
+def test_idle_connections_do_not_block_requests(fleet):
+    idle = [connect(fleet.routers[0]) for _ in range(IDLE_CONNECTIONS)]
     try:
         assert_served(fleet)
     finally:
@@ -61,15 +61,15 @@
             sock.close()
 
 
-def test_slow_headers_are_given_up(fleet):
+def test_slow_headers_time_out(fleet):
     with connect(fleet.routers[0]) as sock:
         sock.sendall(b"GET /healthz HTTP/1.1\r\nHost: x\r\nX-Slow: ")
         assert_served(fleet)
-        assert nothing_arrived(sock), "the request waited for the slow caller's end"
+        assert has_received_nothing(sock), "the request waited for the slow caller's end"
         assert sock.recv(100).startswith(b"HTTP/1.1 408")
 
 
-def test_a_slow_reader_does_not_stop_others(fleet):
+def test_slow_readers_do_not_block_requests(fleet):
     body = json.dumps(
         {
             "model": "m",
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -7,14 +7,14 @@
 import urllib3
 
 from tests.support import (
-    budget_entry,
     expected_text,
+    read_budget,
     start_fleet,
     stream_text,
     wait_until,
 )
 
-BAR_SECONDS = 3.0
+MAX_SECONDS_TO_LAST_START = 3.0
 
 
 class Load:
@@ -23,7 +23,7 @@
     def __init__(self, fleet, threads=6, max_tokens=20):
         self.fleet = fleet
         self.max_tokens = max_tokens
-        self.ended = threading.Event()
+        self.stopping = threading.Event()
         self.failures = []
         self.answered = 0
         self.threads = [threading.Thread(target=self._run, args=(i,)) for i in range(threads)]
@@ -32,7 +32,7 @@
 
     def _run(self, index):
         number = 0
-        while not self.ended.is_set():
+        while not self.stopping.is_set():
             router = self._router(index + number)
             number += 1
             text = f"load {index} {number}"
@@ -55,8 +55,8 @@
         named = [by_address[a] for a in entry["addresses"] if a in by_address]
         return named[number % len(named)]
 
-    def end(self):
-        self.ended.set()
+    def stop_sending(self):
+        self.stopping.set()
         for thread in self.threads:
             thread.join()
 
@@ -69,59 +69,59 @@
         yield started
 
 
-def starts(fleet, name):
+def start_count(fleet, name):
     return len(fleet.targets[name].starts())
 
 
 def seconds_until_last_start(fleet, name, watched=5.0):
     """Return the time from now until the last start that a target sees."""
     began = last = time.monotonic()
-    count = starts(fleet, name)
+    count = start_count(fleet, name)
     while time.monotonic() - began < watched:
         time.sleep(0.05)
-        now = starts(fleet, name)
+        now = start_count(fleet, name)
         if now != count:
             count, last = now, time.monotonic()
     return last - began
 
 
-def by_object(fleet):
+def drain_instance(fleet):
     assert fleet.whinrack("instance", "drain", "i-e1").returncode == 0
 
 
-def by_list_with_lag(fleet):
+def list_as_leaving(fleet):
     fleet.list_target("i-e1", "leaving")
 
 
-@pytest.mark.parametrize("announce", [by_object, by_list_with_lag])
-def test_a_leaving_target_gets_no_new_work_soon_and_ends_what_it_has(fleet, announce):
+@pytest.mark.parametrize("announce", [drain_instance, list_as_leaving])
+def test_a_leaving_target_gets_no_new_requests_and_completes_its_own(fleet, announce):
     load = Load(fleet)
-    wait_until(lambda: starts(fleet, "e1") > 5)
+    wait_until(lambda: start_count(fleet, "e1") > 5)
     announce(fleet)
     seconds = seconds_until_last_start(fleet, "e1")
     wait_until(lambda: fleet.targets["e1"].json("GET", "/load")["running"] == 0)
     fleet.targets["e1"].stop()
     answered = load.answered
     wait_until(lambda: load.answered > answered + 10)
-    load.end()
+    load.stop_sending()
     assert load.failures == []
-    assert seconds < BAR_SECONDS
-    assert starts(fleet, "e2") > 5
+    assert seconds < MAX_SECONDS_TO_LAST_START
+    assert start_count(fleet, "e2") > 5
 
 
-def test_the_object_is_enough_while_the_list_lags(fleet):
+def test_the_target_object_suffices_while_the_list_lags(fleet):
     fleet.platform.fault(list_lag=10.0)
     load = Load(fleet)
-    wait_until(lambda: starts(fleet, "e1") > 5)
-    by_object(fleet)
+    wait_until(lambda: start_count(fleet, "e1") > 5)
+    drain_instance(fleet)
     fleet.list_target("i-e1", "leaving")
     seconds = seconds_until_last_start(fleet, "e1")
-    load.end()
+    load.stop_sending()
     assert load.failures == []
-    assert seconds < BAR_SECONDS
+    assert seconds < MAX_SECONDS_TO_LAST_START
 
 
-def test_a_rolling_planned_stop_of_all_routers_cuts_no_request_and_loses_no_token(fleet):
+def test_a_rolling_restart_interrupts_no_request_and_loses_no_token(fleet):
     load = Load(fleet)
     wait_until(lambda: load.answered > 10)
     for index in range(3):
@@ -129,17 +129,17 @@
         fleet.wait_members()
         fleet.wait_config()
         assert fleet.routers[index].stop() == 0
-    load.end()
+    load.stop_sending()
     assert load.failures == []
     for router in fleet.routers[3:]:
         assert router.stop() == 0
-    books = budget_entry(fleet)
+    books = read_budget(fleet)
     assert books["outstanding"] == books["unproven"] == 0
     served = sum(row["tokens"] for name in ("e1", "e2") for row in fleet.targets[name].starts())
     assert books["billed"] == served
 
 
-def test_a_leaving_router_is_not_named_and_serves_on(fleet):
+def test_a_leaving_router_is_not_listed_as_entry_point_and_keeps_serving(fleet):
     leaving = fleet.routers[0]
     stopper = threading.Thread(target=leaving.stop)
     stopper.start()
--- a/tests/test_once.py
+++ b/tests/test_once.py
@@ -7,18 +7,18 @@
 import pytest
 
 from tests.support import (
-    bill,
-    budget_entry,
-    clean_faults,  # noqa: F401
     expected_text,
-    in_parallel,
+    read_bill,
+    read_budget,
+    reset_faults,  # noqa: F401
+    run_in_parallel,
     start_fleet,
     stream_text,
     wait_until,
 )
 
 # No heartbeat is so late that a peer looks gone, however busy the machine is.
-_PATIENT = {"membership": {"suspect_after": "30"}}
+_LATE_SUSPICION_SETTINGS = {"membership": {"suspect_after": "30"}}
 
 
 @pytest.fixture
@@ -28,13 +28,13 @@
 
 
 @pytest.fixture
-def agreeing_fleet():
+def stable_membership_fleet():
     """A fleet whose instances agree on who is there."""
-    with start_fleet(settings=_PATIENT) as started:
+    with start_fleet(settings=_LATE_SUSPICION_SETTINGS) as started:
         yield started
 
 
-def ticket_of(router):
+def get_ticket(router):
     return router.json("GET", "/v1/entry")["ticket"]
 
 
@@ -46,9 +46,9 @@
     return answer.headers["Whinrack-Outcome"]
 
 
-def start_and_kill(fleet, send, victim=0):
+def kill_during_request(fleet, send, victim=0):
     """Send a request to a router and kill it while its target works."""
-    thread = threading.Thread(target=lambda: in_parallel(send))
+    thread = threading.Thread(target=lambda: run_in_parallel(send))
     before = sum(len(process.starts()) for process in fleet.targets.values())
     thread.start()
     wait_until(
@@ -62,61 +62,67 @@
 # --- repeatable requests -----------------------------------------------------------------
 
 
-def test_retries_at_once_at_all_instances_run_and_bill_once(fleet):
+def test_concurrent_retries_at_all_instances_run_and_bill_once(fleet):
     fleet.targets["e1"].fault(token_delay=0.02)
-    ticket = ticket_of(fleet.routers[0])
+    ticket = get_ticket(fleet.routers[0])
     sends = [
         lambda router=router: fleet.caller.stream(router, key="same", ticket=ticket)
         for router in fleet.routers
     ]
-    answers = in_parallel(*sends, *sends)
+    answers = run_in_parallel(*sends, *sends)
     texts = {stream_text(answer) for answer in answers}
     assert texts == {expected_text("one two three", 10)}
     assert len(fleet.targets["e1"].starts()) == 1
-    wait_until(lambda: budget_entry(fleet)["billed"] == 13)
-    assert bill(fleet) == {"requests": 1, "tokens": 13, "duplicate_tokens": 0}
+    wait_until(lambda: read_budget(fleet)["billed"] == 13)
+    assert read_bill(fleet) == {"requests": 1, "tokens": 13, "duplicate_tokens": 0}
 
 
-def stream_at_all(fleet, key):
+def stream_at_all_routers(fleet, key):
     """Send one request to all routers at once; returns the texts of the answers."""
-    answers = in_parallel(
+    answers = run_in_parallel(
         *[lambda router=router: fleet.caller.stream(router, key=key) for router in fleet.routers]
     )
     return {stream_text(answer) for answer in answers}
 
 
-def test_retries_without_a_ticket_find_each_other_too(agreeing_fleet):
-    fleet = agreeing_fleet
+def test_concurrent_retries_without_a_ticket_are_joined(stable_membership_fleet):
+    fleet = stable_membership_fleet
     fleet.targets["e1"].fault(token_delay=0.02)
     for number in range(1, 7):
-        assert stream_at_all(fleet, f"same {number}") == {expected_text("one two three", 10)}
+        assert stream_at_all_routers(fleet, f"same {number}") == {
+            expected_text("one two three", 10)
+        }
         assert len(fleet.targets["e1"].starts()) == number
-        assert bill(fleet)["requests"] == number
+        assert read_bill(fleet)["requests"] == number
 
 
-def test_a_paused_instance_does_not_make_a_request_run_twice(agreeing_fleet):
-    fleet = agreeing_fleet
+def test_a_paused_instance_does_not_make_a_request_run_twice(stable_membership_fleet):
+    fleet = stable_membership_fleet
     fleet.targets["e1"].fault(token_delay=0.02)
     for number, router in enumerate(fleet.routers, start=1):
-        pause(router)
-        assert stream_at_all(fleet, f"same {number}") == {expected_text("one two three", 10)}
+        pause_until_suspected(router)
+        assert stream_at_all_routers(fleet, f"same {number}") == {
+            expected_text("one two three", 10)
+        }
         assert len(fleet.targets["e1"].starts()) == number
-    assert bill(fleet) == {"requests": 3, "tokens": 39, "duplicate_tokens": 0}
+    assert read_bill(fleet) == {"requests": 3, "tokens": 39, "duplicate_tokens": 0}
 
 
-def test_instances_that_disagree_who_is_there_bill_a_request_once(fleet):
+def test_instances_with_different_member_lists_bill_a_request_once(fleet):
     """Without a ticket they ask different homes: it may run twice, and is billed once."""
     fleet.targets["e1"].fault(token_delay=0.02)
     for number, router in enumerate(fleet.routers, start=1):
-        pause(router)
-        assert stream_at_all(fleet, f"same {number}") == {expected_text("one two three", 10)}
-    paid = bill(fleet)
-    assert (paid["requests"], paid["tokens"]) == (3, 39)
+        pause_until_suspected(router)
+        assert stream_at_all_routers(fleet, f"same {number}") == {
+            expected_text("one two three", 10)
+        }
+    billed = read_bill(fleet)
+    assert (billed["requests"], billed["tokens"]) == (3, 39)
     starts = len(fleet.targets["e1"].starts())
-    assert paid["duplicate_tokens"] == 13 * (starts - 3)
+    assert billed["duplicate_tokens"] == 13 * (starts - 3)
 
 
-def pause(router):
+def pause_until_suspected(router):
     """Stop a router for longer than it takes to look gone at its peers."""
     router.freeze()
     time.sleep(1.4)
@@ -124,24 +130,24 @@
 
 
 def test_a_later_retry_gets_the_same_answer_and_no_second_bill(fleet):
-    ticket = ticket_of(fleet.routers[0])
+    ticket = get_ticket(fleet.routers[0])
     first = fleet.caller.chat(fleet.routers[0], key="same", ticket=ticket)
-    again = fleet.caller.chat(fleet.routers[1], key="same", ticket=ticket)
-    assert first.data == again.data
-    assert again.headers["Whinrack-Joined"] == "yes"
-    assert bill(fleet)["requests"] == 1
+    retried = fleet.caller.chat(fleet.routers[1], key="same", ticket=ticket)
+    assert first.data == retried.data
+    assert retried.headers["Whinrack-Joined"] == "yes"
+    assert read_bill(fleet)["requests"] == 1
 
 
-def test_a_router_killed_in_mid_stream_is_taken_over_whole_and_billed_once(fleet):
+def test_a_stream_of_a_killed_router_is_completed_by_a_peer_and_billed_once(fleet):
     fleet.targets["e1"].fault(token_delay=0.05)
-    ticket = ticket_of(fleet.routers[0])
+    ticket = get_ticket(fleet.routers[0])
     send = lambda router: fleet.caller.stream(router, key="k", ticket=ticket)  # noqa: E731
-    start_and_kill(fleet, lambda: send(fleet.routers[0]))
-    answers = in_parallel(*[lambda r=r: send(r) for r in fleet.routers[1:]])
+    kill_during_request(fleet, lambda: send(fleet.routers[0]))
+    answers = run_in_parallel(*[lambda r=r: send(r) for r in fleet.routers[1:]])
     for answer in answers:
         assert stream_text(answer) == expected_text("one two three", 10)
-    assert bill(fleet)["requests"] == 1
-    assert bill(fleet)["tokens"] == 13
+    assert read_bill(fleet)["requests"] == 1
+    assert read_bill(fleet)["tokens"] == 13
     home = ticket.removeprefix("t1.")
     assert {record[4] for record in journal_records(fleet)} == {home}
 
@@ -156,20 +162,20 @@
     for number in range(5):
         assert fleet.caller.stream(fleet.routers[0], text=f"t {number}").status == 200
     fleet.routers[0].kill()
-    assert bill(fleet)["requests"] == 5
+    assert read_bill(fleet)["requests"] == 5
 
 
 @pytest.mark.parametrize("ticketed", [True, False])
 @pytest.mark.parametrize("repeatable", ["yes", "no"])
-def test_what_ran_before_a_planned_stop_is_known_after_it(fleet, ticketed, repeatable):
+def test_completed_requests_are_known_after_a_planned_stop(fleet, ticketed, repeatable):
     options = {"key": "before", "repeatable": repeatable}
     if ticketed:
-        options["ticket"] = ticket_of(fleet.routers[0])
+        options["ticket"] = get_ticket(fleet.routers[0])
     assert fleet.caller.post(fleet.routers[0], **options).status == 200
     for router in fleet.routers[:2]:
         assert router.stop() == 0
-    again = fleet.caller.post(fleet.routers[2], **options)
-    assert (again.status, outcome(again)) == (409, "ran")
+    retried = fleet.caller.post(fleet.routers[2], **options)
+    assert (retried.status, outcome(retried)) == (409, "ran")
     assert service_starts(fleet) == 1
     other = {**options, "key": "after"}
     assert fleet.caller.post(fleet.routers[2], **other).status == 200
@@ -178,13 +184,13 @@
 # --- requests that may not be repeated -----------------------------------------------------
 
 
-def test_not_repeatable_requests_run_once_whoever_is_asked(fleet):
+def test_not_repeatable_requests_run_once_at_any_instance(fleet):
     fleet.targets["s1"].fault(delay=0.3)
     sends = [
         lambda router=router: fleet.caller.post(router, key="alert", repeatable="no")
         for router in fleet.routers
     ]
-    answers = in_parallel(*sends, *sends)
+    answers = run_in_parallel(*sends, *sends)
     assert [answer.status for answer in answers] == [200] * 6
     assert service_starts(fleet) == 1
 
@@ -194,9 +200,11 @@
     fleet.targets["s1"].fault(delay=2.0)
     options = {"key": "alert", "repeatable": "no"}
     if ticketed:
-        options["ticket"] = ticket_of(fleet.routers[0])
-    start_and_kill(fleet, lambda: fleet.caller.post(fleet.routers[0], **options))
-    answers = in_parallel(*[lambda r=r: fleet.caller.post(r, **options) for r in fleet.routers[1:]])
+        options["ticket"] = get_ticket(fleet.routers[0])
+    kill_during_request(fleet, lambda: fleet.caller.post(fleet.routers[0], **options))
+    answers = run_in_parallel(
+        *[lambda r=r: fleet.caller.post(r, **options) for r in fleet.routers[1:]]
+    )
     for answer in answers:
         assert answer.status == 503
         assert outcome(answer) == "unknown"
@@ -205,20 +213,22 @@
 
 
 @pytest.mark.parametrize("ticketed", [True, False])
-def test_a_paused_home_that_wakes_does_not_run_it_twice(fleet, ticketed):
+def test_a_resumed_home_does_not_run_a_request_twice(fleet, ticketed):
     options = {"key": "alert", "repeatable": "no"}
     if ticketed:
-        options["ticket"] = ticket_of(fleet.routers[0])
+        options["ticket"] = get_ticket(fleet.routers[0])
     fleet.routers[0].freeze()
     results = []
     sleeper = threading.Thread(
         target=lambda: results.extend(
-            in_parallel(lambda: fleet.caller.post(fleet.routers[0], **options))
+            run_in_parallel(lambda: fleet.caller.post(fleet.routers[0], **options))
         )
     )
     sleeper.start()
     time.sleep(0.3)
-    answers = in_parallel(*[lambda r=r: fleet.caller.post(r, **options) for r in fleet.routers[1:]])
+    answers = run_in_parallel(
+        *[lambda r=r: fleet.caller.post(r, **options) for r in fleet.routers[1:]]
+    )
     ran = sum(answer.status == 200 for answer in answers)
     time.sleep(1.5)
     fleet.routers[0].thaw()
@@ -232,7 +242,7 @@
             assert outcome(answer) != "ran"
 
 
-def test_without_platform_and_ticket_it_is_refused_as_not_run(fleet):
+def test_without_platform_and_ticket_a_request_is_refused_as_not_run(fleet):
     fleet.platform.fault(down=True)
     answer = fleet.caller.post(fleet.routers[1], key="alert", repeatable="no")
     assert answer.status == 503
@@ -241,15 +251,15 @@
     assert int(answer.headers["Retry-After"]) >= 1
     assert service_starts(fleet) == 0
     fleet.platform.fault(down=False)
-    again = fleet.caller.post(fleet.routers[2], key="alert", repeatable="no")
-    assert again.status == 200
+    retried = fleet.caller.post(fleet.routers[2], key="alert", repeatable="no")
+    assert retried.status == 200
     assert service_starts(fleet) == 1
 
 
 def test_a_claim_whose_reply_is_lost_runs_once(fleet):
     fleet.platform.fault(lose_replies=1)
     options = {"key": "alert", "repeatable": "no"}
-    answers = in_parallel(*[lambda r=r: fleet.caller.post(r, **options) for r in fleet.routers])
+    answers = run_in_parallel(*[lambda r=r: fleet.caller.post(r, **options) for r in fleet.routers])
     assert 200 in [answer.status for answer in answers]
     assert service_starts(fleet) == 1
 
@@ -257,12 +267,12 @@
 @pytest.mark.parametrize("ticketed", [True, False])
 def test_a_home_never_runs_what_it_ceded_to_a_lost_owner(fleet, ticketed):
     """Found by reading: the first retry at the home was refused, the second one ran."""
-    ticket = ticket_of(fleet.routers[0])
+    ticket = get_ticket(fleet.routers[0])
     options = {"key": "alert", "repeatable": "no"}
     fleet.targets["s1"].fault(delay=1.0)
     fleet.platform.fault(down=True)
     send = lambda: fleet.caller.post(fleet.routers[1], ticket=ticket, **options)  # noqa: E731
-    start_and_kill(fleet, send, victim=1)
+    kill_during_request(fleet, send, victim=1)
     fleet.platform.fault(down=False)
     if ticketed:
         options["ticket"] = ticket
@@ -272,11 +282,11 @@
 
 
 @pytest.mark.parametrize("ticketed", [True, False])
-def test_a_service_that_dies_after_the_start_is_unknown_and_not_run_again(fleet, ticketed):
+def test_a_broken_service_answer_is_unknown_and_not_run_again(fleet, ticketed):
     fleet.targets["s1"].fault(cut=True)
     options = {"key": "alert", "repeatable": "no"}
     if ticketed:
-        options["ticket"] = ticket_of(fleet.routers[0])
+        options["ticket"] = get_ticket(fleet.routers[0])
     first = fleet.caller.post(fleet.routers[0], **options)
     assert outcome(first) == "unknown"
     fleet.targets["s1"].fault(cut=False)
@@ -285,7 +295,7 @@
     assert service_starts(fleet) == 1
 
 
-def test_a_post_that_nobody_marked_is_not_sent_twice(fleet):
+def test_an_unmarked_post_is_not_sent_twice(fleet):
     """Found by reading: a notice whose answer broke would have been posted again."""
     fleet.targets["s1"].fault(cut=True)
     assert outcome(fleet.caller.post(fleet.routers[0])) == "unknown"
@@ -310,7 +320,7 @@
     assert service_starts(fleet) == 1
 
 
-def test_a_target_that_refuses_connections_did_not_run_anything(fleet):
+def test_a_refused_connection_counts_as_not_run(fleet):
     fleet.targets["s1"].kill()
     answer = fleet.caller.post(fleet.routers[0], key="alert", repeatable="no")
     assert answer.status == 503
--- a/tests/test_outcome_report.py
+++ b/tests/test_outcome_report.py
@@ -5,22 +5,22 @@
 from tools.outcome_report import main, read_events, summarise
 
 
-def line(event, name, seconds=1.0, instance="m", **fields):
+def log_line(event, name, seconds=1.0, instance="m", **fields):
     body = ",".join(f'"{key}":"{value}"' for key, value in fields.items())
     head = f'{{"time":"2026-01-01T00:00:00+00:00","event":{event},"name":"{name}"'
     return f' {seconds} {instance} {head},"fields":{{{body}}}}}'
 
 
 LINES = [
-    line(7001, "request_answered", 0.5, status=200),
-    line(7002, "request_refused", 5.0, code="no_route", waited=0.1),
-    line(7002, "request_refused", 5.5, instance="n", code="no_route", waited=0.3),
-    line(7005, "attempt_failed", 9.0, code="answer_cut"),
-    line(7004, "caller_left", 9.5, waited=4.0),
+    log_line(7001, "request_answered", 0.5, status=200),
+    log_line(7002, "request_refused", 5.0, code="no_route", waited=0.1),
+    log_line(7002, "request_refused", 5.5, instance="n", code="no_route", waited=0.3),
+    log_line(7005, "attempt_failed", 9.0, code="answer_cut"),
+    log_line(7004, "caller_left", 9.5, waited=4.0),
 ]
 
 
-def test_ends_are_counted_by_reason_and_span():
+def test_outcomes_are_counted_by_reason_and_span():
     ends, notices = summarise(read_events(LINES), span=4.0)
     assert {name: dict(counts) for name, counts in ends.items()} == {
         "answered": {0: 1},
@@ -32,13 +32,13 @@
     }
 
 
-def test_time_is_taken_from_the_events_where_the_lines_have_none():
+def test_lines_without_a_time_use_the_time_of_the_event():
     later = '{"time":"2026-01-01T00:00:03+00:00","event":7004,"name":"caller_left"}'
-    bare = [LINES[0][LINES[0].index("{") :], later]
-    assert [event.seconds for event in read_events(bare)] == [0.0, 3.0]
+    lines = [LINES[0][LINES[0].index("{") :], later]
+    assert [event.seconds for event in read_events(lines)] == [0.0, 3.0]
 
 
-def test_lines_that_are_no_events_are_skipped():
+def test_lines_without_an_event_are_skipped():
     assert list(read_events(["", "no json", ' {"time":"x","event":"y"}'])) == []
 
 
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -16,19 +16,19 @@
 from whinrack.peers._pb.peer_grpc import PeerStub
 
 
-def refused(fleet, router):
+def refused_peer_count(fleet, router):
     return fleet.counters(router).get('whinrack_peer_refused_total{reason="fleet_key"}', 0)
 
 
 def test_a_peer_with_another_key_is_refused_and_counted():
     with start_fleet(routers=2, engines=()) as fleet:
         stranger = fleet.start_router("stranger", peer={"fleet_key": "another-key-of-some-length"})
-        wait_until(lambda: refused(fleet, fleet.routers[0]) > 0)
+        wait_until(lambda: refused_peer_count(fleet, fleet.routers[0]) > 0)
         assert "stranger" not in fleet.status(fleet.routers[0])["members"]
         assert fleet.serves(stranger)
 
 
-def test_neither_keys_nor_callers_text_reach_the_logs():
+def test_neither_keys_nor_prompts_reach_the_logs():
     with start_fleet(routers=2, settings={"logs": {"level": "DEBUG", "format": "json"}}) as fleet:
         for router in fleet.routers:
             fleet.caller.chat(router, text="a secret sentence", key="idem-secret")
@@ -45,8 +45,8 @@
 @pytest.fixture
 def certificates(tmp_path):
     """Write an authority and a certificate of it."""
-    authority_key, authority = _certificate("fleet", None, None)
-    key, certificate = _certificate("router", authority_key, authority)
+    authority_key, authority = _make_certificate("fleet", None, None)
+    key, certificate = _make_certificate("router", authority_key, authority)
     paths = {name: tmp_path / f"{name}.pem" for name in ("authority", "certificate", "private_key")}
     paths["authority"].write_bytes(authority.public_bytes(serialization.Encoding.PEM))
     paths["certificate"].write_bytes(certificate.public_bytes(serialization.Encoding.PEM))
@@ -60,7 +60,7 @@
     return {name: str(path) for name, path in paths.items()}
 
 
-def test_mutual_tls_lets_in_only_peers_with_a_certificate(certificates):
+def test_mutual_tls_accepts_only_peers_with_a_certificate(certificates):
     with start_fleet(routers=2, engines=(), settings={"peer": certificates}) as fleet:
         for router in fleet.routers:
             assert len(fleet.status(router)["members"]) == 1
@@ -71,7 +71,7 @@
         assert "stranger" not in fleet.status(fleet.routers[0])["members"]
 
 
-def _certificate(name, issuer_key, issuer):
+def _make_certificate(name, issuer_key, issuer):
     key = ec.generate_private_key(ec.SECP256R1())
     subject = x509.Name([x509.NameAttribute(x509.NameOID.COMMON_NAME, name)])
     now = datetime.datetime.now(datetime.UTC)
@@ -90,27 +90,29 @@
     return key, builder.sign(issuer_key or key, hashes.SHA256())
 
 
-def test_a_follower_that_is_ahead_does_not_keep_its_source_busy():
+def test_a_feed_does_not_reply_continuously_to_a_follower_that_is_ahead():
     """Found by eight routers starting at once: the source sent replies without a pause."""
 
-    async def follow(address):
+    async def count_feed_messages(address):
         host, _, port = address.partition(":")
         channel = Channel(host, int(port))
         try:
             request = peer_pb2.FeedRequest(since=10**9)
-            async with PeerStub(channel).Feed.open(metadata={"whinrack-fleet-key": FLEET_KEY}) as s:
-                await s.send_message(request, end=True)
+            async with PeerStub(channel).Feed.open(
+                metadata={"whinrack-fleet-key": FLEET_KEY}
+            ) as stream:
+                await stream.send_message(request, end=True)
                 count = 0
                 with contextlib.suppress(TimeoutError):
                     async with asyncio.timeout(1.5):
-                        while await s.recv_message() is not None:
+                        while await stream.recv_message() is not None:
                             count += 1
-                await s.cancel()
+                await stream.cancel()
                 return count
         finally:
             channel.close()
 
     with start_fleet(routers=1, engines=()) as fleet:
         router = fleet.routers[0]
-        assert asyncio.run(follow(router.peer_address)) <= 4
+        assert asyncio.run(count_feed_messages(router.peer_address)) <= 4
         assert router.call("GET", "/readyz", timeout=2.0).status == 200
--- a/tests/test_ports.py
+++ b/tests/test_ports.py
@@ -8,37 +8,37 @@
 from standins import ports
 
 ROOT = pathlib.Path(__file__).resolve().parent.parent
-_DEFAULT_FIRST = 32_768
+_DEFAULT_FIRST_EPHEMERAL_PORT = 32_768
 
 
-def first_port_of_connections():
+def first_ephemeral_port():
     """Return the first port that the system gives to outgoing connections."""
     path = pathlib.Path("/proc/sys/net/ipv4/ip_local_port_range")
-    return int(path.read_text().split()[0]) if path.exists() else _DEFAULT_FIRST
+    return int(path.read_text().split()[0]) if path.exists() else _DEFAULT_FIRST_EPHEMERAL_PORT
 
 
-def test_no_port_is_one_that_connections_get():
-    assert all(ports.free_port() < first_port_of_connections() for _ in range(50))
+def test_free_ports_are_below_the_ephemeral_range():
+    assert all(ports.free_port() < first_ephemeral_port() for _ in range(50))
 
 
-def test_a_port_is_given_once():
+def test_a_port_is_returned_once():
     given = [ports.free_port() for _ in range(200)]
     assert len(set(given)) == len(given)
 
 
-def test_ports_in_a_row_are_all_reserved(monkeypatch):
+def test_consecutive_ports_are_all_reserved(monkeypatch):
     first = ports.free_ports(5)
     # The next one may be reserved, too, by a test before this one.
     after = next(port for port in range(first + 5, ports._LAST) if _can_be_reserved(port))
-    monkeypatch.setattr(ports.random, "randrange", _answers(first + 2, first + 4, after))
+    monkeypatch.setattr(ports.random, "randrange", _return_in_turn(first + 2, first + 4, after))
     assert ports.free_port() == after
 
 
 def _can_be_reserved(port):
-    ports_ = range(port, port + 1)
-    if not ports._reserve(ports_):
+    port_range = range(port, port + 1)
+    if not ports._reserve(port_range):
         return False
-    ports._unlock(ports_)
+    ports._unlock(port_range)
     return True
 
 
@@ -51,17 +51,17 @@
     assert result.stdout.strip() == "False"
 
 
-def test_a_port_on_which_something_listens_is_passed_over(monkeypatch):
+def test_a_port_in_use_is_skipped(monkeypatch):
     with socket.socket() as listener:
         listener.bind(("127.0.0.1", 0))
         listener.listen()
         busy = listener.getsockname()[1]
         free = ports.free_port()
         ports._unlock([free])
-        monkeypatch.setattr(ports.random, "randrange", _answers(busy, free))
+        monkeypatch.setattr(ports.random, "randrange", _return_in_turn(busy, free))
         assert ports.free_port() == free
 
 
-def _answers(*values):
-    left = list(values)
-    return lambda *_: left.pop(0)
+def _return_in_turn(*values):
+    remaining = list(values)
+    return lambda *_: remaining.pop(0)
--- a/tests/test_spend.py
+++ b/tests/test_spend.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from tests.support import budget_entry, in_parallel, start_fleet, wait_until
+from tests.support import read_budget, run_in_parallel, start_fleet, wait_until
 
 BUDGET = 4000
 # A budget is used up within this time at any speed, seconds; and seconds between two looks.
@@ -13,7 +13,7 @@
 _ROUND_SECONDS = 0.5
 
 
-def engine_tokens(fleet):
+def generated_tokens(fleet):
     return sum(
         row["tokens"]
         for name, process in fleet.targets.items()
@@ -23,13 +23,13 @@
 
 
 def assert_books_balance(fleet):
-    books = budget_entry(fleet)
+    books = read_budget(fleet)
     parts = books["billed"] + books["unproven"] + books["outstanding"] + books["free"]
     assert books["limit"] == parts
     return books
 
 
-def load(fleet, routers, seconds, statuses):
+def send_requests(fleet, routers, seconds, statuses):
     """Send requests to routers in turn until the time is over."""
     end = time.monotonic() + seconds
     number = 0
@@ -44,19 +44,19 @@
             time.sleep(0.05)
 
 
-def ask_until_refused(fleet, statuses):
+def send_until_refused(fleet, statuses):
     """Go on until the budget is at its end: a busy machine uses up 3,151 of 4,000 in 5 s."""
     end = time.monotonic() + _REFUSAL_SECONDS
     while not {402, 429} & set(statuses) and time.monotonic() < end:
-        load(fleet, fleet.routers, _ROUND_SECONDS, statuses)
+        send_requests(fleet, fleet.routers, _ROUND_SECONDS, statuses)
 
 
-def run_load(fleet, seconds, threads=8):
+def start_load(fleet, seconds, threads=8):
     statuses = []
     routers = fleet.routers
     workers = [
         threading.Thread(
-            target=load,
+            target=send_requests,
             args=(fleet, routers[index % 3 :] + routers[: index % 3], seconds, statuses),
         )
         for index in range(threads)
@@ -92,7 +92,7 @@
 
 def top_up_race(fleet):
     add = lambda: fleet.whinrack("budget", "topup", "b", 500, "--id", "more")  # noqa: E731
-    in_parallel(add, add, add)
+    run_in_parallel(add, add, add)
 
 
 FAULTS = [outage, lost_replies, frozen_holder, killed_holder, top_up_race]
@@ -104,24 +104,24 @@
         for engine in fleet.targets.values():
             if engine.name.startswith("e"):
                 engine.fault(token_delay=0.002)
-        workers, statuses = run_load(fleet, seconds=5.0)
+        workers, statuses = start_load(fleet, seconds=5.0)
         time.sleep(0.4)
         fault(fleet)
         for worker in workers:
             worker.join()
-        ask_until_refused(fleet, statuses)
+        send_until_refused(fleet, statuses)
         for engine in ("e1", "e2"):
             wait_until(
                 lambda engine=engine: fleet.targets[engine].json("GET", "/load")["running"] == 0
             )
         books = assert_books_balance(fleet)
-        assert engine_tokens(fleet) <= books["limit"]
+        assert generated_tokens(fleet) <= books["limit"]
         assert statuses.count(200) > 20
         # A holder that was killed or woke late still holds tokens: contended, not exhausted.
         assert 402 in statuses or 429 in statuses
 
 
-def test_a_cut_between_regions_lets_neither_spend_what_the_other_holds():
+def test_partitioned_regions_spend_only_their_own_grants():
     """Two regions lose each other and the platform; both keep serving from their grants."""
     halls = (("north", "a"), ("south", "b"))
     settings = {"budgets": {"horizon": "20"}}
@@ -136,18 +136,18 @@
         north = [fleet.caller.stream(fleet.routers[0], max_tokens=20).status for _ in range(30)]
         fleet.routers[1].thaw()
         south = [fleet.caller.stream(fleet.routers[1], max_tokens=20).status for _ in range(30)]
-        assert engine_tokens(fleet) <= 3000
+        assert generated_tokens(fleet) <= 3000
         assert north.count(200) >= 5
         assert south.count(200) >= 5
         fleet.platform.fault(down=False)
-        wait_until(lambda: budget_entry(fleet)["billed"] == engine_tokens(fleet))
+        wait_until(lambda: read_budget(fleet)["billed"] == generated_tokens(fleet))
         assert_books_balance(fleet)
 
 
-def test_what_a_killed_holder_held_stays_out_of_use_until_an_operator_speaks():
+def test_tokens_of_a_killed_holder_stay_outstanding_until_an_operator_releases_them():
     with start_fleet(routers=2, budget=5000) as fleet:
         assert fleet.caller.stream(fleet.routers[1]).status == 200
-        wait_until(lambda: any(h["billed"] for h in budget_entry(fleet)["holders"]))
+        wait_until(lambda: any(h["billed"] for h in read_budget(fleet)["holders"]))
         held = fleet.status(fleet.routers[1])["incarnation"]
         fleet.routers[1].kill()
         books = assert_books_balance(fleet)
@@ -166,4 +166,4 @@
             assert router.stop() == 0
         books = assert_books_balance(fleet)
         assert books["outstanding"] == 0
-        assert books["billed"] == engine_tokens(fleet)
+        assert books["billed"] == generated_tokens(fleet)
