--- a/tests/sessions.py
+++ b/tests/sessions.py
@@ -1,7 +1,8 @@
-"""Whole sessions of the decisions in simulated time, written down line by line.
+"""Scripted sessions of budgets, request memory, pools and configuration in simulated time.
 
-Every line is a moment, who, and what was decided. The same session gives the same lines
-to the byte: there is no clock, no thread and no random source but the seeded ones.
+Each session returns a transcript: one line per decision with its time, actor and text.
+Transcripts are deterministic: there are no real clocks or threads, and every random
+generator is seeded.
 """
 
 import simpy
@@ -18,18 +19,18 @@
 
 
 class Session:
-    """Simulated time and the lines written so far."""
+    """A simulation and the transcript recorded so far."""
 
     def __init__(self):
         self.env = simpy.Environment()
         self.lines = []
 
     def record(self, actor, text):
-        """Write one line."""
+        """Append one line to the transcript."""
         self.lines.append(f"{self.env.now:8.2f}  {actor:10} {text}")
 
     def schedule(self, time, function, *arguments):
-        """Have something happen at a moment."""
+        """Call a function at a simulated time."""
 
         def process():
             yield self.env.timeout(time - self.env.now)
@@ -38,13 +39,13 @@
         self.env.process(process())
 
     def run(self):
-        """Let everything happen; returns the text."""
+        """Run all scheduled calls and return the transcript."""
         self.env.run()
         return "\n".join(self.lines) + "\n"
 
 
 def describe_result(result):
-    """Return a result's value or failure as short text."""
+    """Describe a cover or queue result: the failure if there is one, else "covered"."""
     failure = result.failure() if hasattr(result, "failure") and not _is_success(result) else None
     return f"refused {failure.code} ({failure.message})" if failure else "covered"
 
@@ -57,7 +58,7 @@
 
 
 def budget_session():
-    """A budget from its first request to its end, through an outage and a kill."""
+    """Record covers of one budget through an outage, a kill, a release and planned stops."""
     session = Session()
     fleet = Fleet(("north.1", "south.1", "west.1"), 2000, horizon=30.0)
     fleet.sleep = lambda seconds: None
@@ -144,7 +145,7 @@
 
 
 def ownership_session():
-    """One key at three instances: ceded, joined, lost, taken over, refused."""
+    """Record consultations of three instances about one idempotency key."""
     session = Session()
     memories = {name: RequestMemory(name) for name in ("a.1", "b.1", "c.1")}
     digest = body_digest(b"alert")
@@ -187,7 +188,7 @@
 
 
 def pool_session():
-    """A pool through load, a failing target, a leaving one and an overload."""
+    """Record picks and queueing with a failing, a leaving and an overloaded target."""
     session = Session()
     pool = PoolState("p", TargetPool(models=("m",), queue_limit=3), seed=7)
     for name in ("t1", "t2", "t3"):
@@ -205,7 +206,7 @@
     def enqueue(request_class, patience):
         now = session.env.now
         waiter = QueuedRequest(
-            request_class, now + patience, lambda: session.record("queue", "wakes one")
+            request_class, now + patience, lambda: session.record("queue", "wakes a request")
         )
         result = pool.queue.enqueue(waiter, pool.slots(now), now)
         text = "waits" if _is_success(result) else describe_result(result)
@@ -213,8 +214,8 @@
 
     def record_failure(name):
         pool.targets[name].record_failure(session.env.now)
-        out = pool.targets[name].ejection.is_ejected(session.env.now)
-        session.record(name, f"fails, set aside: {out}")
+        is_ejected = pool.targets[name].ejection.is_ejected(session.env.now)
+        session.record(name, f"fails, ejected: {is_ejected}")
 
     def mark_leaving(name):
         pool.targets[name].is_instance_leaving = True
@@ -222,7 +223,7 @@
 
     def report_overload(name):
         pool.targets[name].record_overload()
-        session.record(name, f"says it is busy, limit {pool.targets[name].concurrency_limit:.2f}")
+        session.record(name, f"reports overload, limit {pool.targets[name].concurrency_limit:.2f}")
 
     def serve():
         waiter = pool.queue.peek(session.env.now)
@@ -254,14 +255,14 @@
 
 
 def configuration_session():
-    """Versions from a watch, a peer and snapshots, late and out of order."""
+    """Record updates from a watch, a peer and snapshots that arrive late and out of order."""
     session = Session()
     config = ConfigStore(
         on_change=lambda kinds: session.record(
             "config", f"changed, newest {config.newest_version}"
         ),
         on_invalid=lambda stored, error: session.record(
-            "config", f"keeps the last: {error.message}"
+            "config", f"keeps the last version: {error.message}"
         ),
     )
 
@@ -269,13 +270,13 @@
         return StoredObject("Workspace", "w", version, value, deleted)
 
     def batch(source, revision, *objects):
-        taken = config.apply_batch(revision, objects)
-        session.record(source, f"up to {revision}: {taken} of {len(objects)} new")
+        applied = config.apply_batch(revision, objects)
+        session.record(source, f"batch at {revision}: {applied} of {len(objects)} new")
         show()
 
     def snapshot(source, revision, *objects):
-        taken = config.apply_snapshot(revision, objects)
-        session.record(source, f"all at {revision}: {taken} new")
+        applied = config.apply_snapshot(revision, objects)
+        session.record(source, f"snapshot at {revision}: {applied} new")
         show()
 
     def show():
--- a/tests/support.py
+++ b/tests/support.py
@@ -1,4 +1,4 @@
-"""Requests, declarations and parallel callers for the tests with real processes."""
+"""Fleets, declarations and callers for the tests that start processes."""
 
 import json
 import threading
@@ -28,13 +28,13 @@
 
 
 class Caller:
-    """Sends requests with one key."""
+    """A client that sends requests with one API key."""
 
     def __init__(self, bearer):
         self.bearer = bearer
 
     def headers(self, **values):
-        """Return headers; `key`, `ticket`, `repeatable` and others by short names."""
+        """Return request headers, given by the short names below."""
         names = {
             "key": "Idempotency-Key",
             "ticket": "Whinrack-Ticket",
@@ -46,7 +46,7 @@
         return {"Authorization": f"Bearer {self.bearer}", **fields}
 
     def chat(self, router, text="one two three", max_tokens=10, fields=None, **headers):
-        """Send a chat completion and return the answer, read whole."""
+        """Send a chat completion request and return the answer with its complete body."""
         body = {
             "model": "m",
             "messages": [{"role": "user", "content": text}],
@@ -56,11 +56,11 @@
         return router.call("POST", "/v1/chat/completions", body, self.headers(**headers))
 
     def stream(self, router, **options):
-        """Send a streamed chat completion."""
+        """Send a chat completion request for a streamed answer."""
         return self.chat(router, fields={"stream": True}, **options)
 
     def post(self, router, path="/services/board/notices", value=None, **headers):
-        """Call the plain service."""
+        """Send a request to the service pool `board`."""
         return router.call("POST", path, value or {"text": "hi"}, self.headers(**headers))
 
 
@@ -88,7 +88,7 @@
 
 
 def declare_objects(fleet, budget):
-    """Write the objects of a small fleet; returns a caller."""
+    """Create the objects of a small fleet and return a caller with its API key."""
     bearer, key = make_key("k", "w", "b")
     fleet.put("Workspace", "w", {})
     fleet.put("TargetPool", "chat", {"models": ["m"], "max_output_tokens": 2000})
@@ -104,23 +104,23 @@
 
 
 def declare_target(fleet, name, pool, process, **fields):
-    """Write a target."""
+    """Create or replace the object of a target."""
     spec = {"pool": pool, "address": process.address, "instance": f"i-{name}", **fields}
     fleet.put("Target", name, spec)
 
 
 def read_budget(fleet, name="b"):
-    """Return a budget's books as the command line shows them."""
+    """Return the output of `whinrack budget show` for a budget."""
     return json.loads(fleet.whinrack("budget", "show", name, "--output", "json").stdout)
 
 
 def read_bill(fleet):
-    """Return the bill of workspace `w`, None if there is none."""
+    """Return the bill of workspace `w`, or None if nothing was billed."""
     return json.loads(fleet.whinrack("bill", "--output", "json").stdout).get("w")
 
 
 def stream_text(answer):
-    """Return a stream's text, failing if it isn't whole."""
+    """Return the text of a stream, and fail if the stream is incomplete."""
     data = answer.data if hasattr(answer, "data") else answer
     assert data.endswith(b"data: [DONE]\n\n"), data[-300:]
     words = []
@@ -138,7 +138,7 @@
 
 
 def run_in_parallel(*functions):
-    """Run functions in threads; returns results or exceptions in order."""
+    """Run functions in threads and return their results or exceptions in order."""
     results = [None] * len(functions)
 
     def run(index, function):
@@ -156,7 +156,7 @@
 
 
 def make_fleet_fixture(**options):
-    """Make a module fixture that gives a fleet."""
+    """Return a module-scoped fixture that starts a fleet."""
 
     @pytest.fixture(scope="module")
     def fleet():
--- a/tests/test_boundaries.py
+++ b/tests/test_boundaries.py
@@ -1,12 +1,12 @@
-"""The users' platform speaks in one folder only; decisions stay free of protocols."""
+"""Only the adapter in ``platform`` uses the names and protocols of the users' platform."""
 
 import pathlib
 import re
 
 ROOT = pathlib.Path(__file__).resolve().parent.parent
 
-# Headers, fields and settings of the platform's pages that are no plain English words.
-# Its store's path is left out: the product's own object API has had the same one before.
+# Headers, fields and settings from the documentation of the platform, except plain English words.
+# The path of its store is omitted because Whinrack's own object API already used the same one.
 PLATFORM_NAMES = re.compile(
     r"x-whinrack-|_MS\b|prepaid\b(?=[\"'])|api_keys|path_prefix\"|idle_timeout_ms|max_conns|"
     r"kv_capacity|gap_goal_ms|provider\.|port_range|node_name|listen\.front|"
--- a/tests/test_callers.py
+++ b/tests/test_callers.py
@@ -1,4 +1,4 @@
-"""The callers' side: unchanged clients, bad input, whole answers, hang-ups."""
+"""The HTTP API: the OpenAI client, invalid input, complete answers and disconnects."""
 
 import hashlib
 import json
@@ -34,7 +34,7 @@
     )
 
 
-# --- the official client, unchanged ----------------------------------------------------
+# --- the OpenAI client -------------------------------------------------------------------
 
 
 def test_the_openai_client_streams(fleet):
@@ -87,7 +87,7 @@
     assert after == before + 1
 
 
-# --- bad input ---------------------------------------------------------------------------
+# --- invalid input -----------------------------------------------------------------------
 
 VALID_BODY = {"model": "m", "messages": [{"role": "user", "content": "a"}]}
 INVALID_BODIES = [
@@ -159,12 +159,12 @@
             b"POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\nContent-Length: 100\r\n"
             + f"Authorization: Bearer {fleet.caller.bearer}\r\n\r\n{{".encode()
         )
-        # Others are served meanwhile.
+        # The pending body does not block other requests.
         assert fleet.caller.chat(router).status == 200
         assert sock.recv(100).startswith(b"HTTP/1.1 408")
 
 
-# --- whole answers ---------------------------------------------------------------------
+# --- complete answers --------------------------------------------------------------------
 
 
 def test_a_streamed_answer_reports_its_outcome(fleet):
@@ -261,7 +261,7 @@
     wait_until(lambda: fleet.caller.chat(router).status == 200)
 
 
-# --- plain services ----------------------------------------------------------------------
+# --- services ----------------------------------------------------------------------------
 
 
 def test_a_service_receives_body_and_headers_unchanged(fleet):
@@ -287,7 +287,7 @@
 
 @pytest.mark.usefixtures("reset_faults")
 def test_reused_target_connections_cause_no_retries(fleet):
-    """Found by a load test: the end of a stream was left unread on a reused connection."""
+    """A load test failed because the end of a stream was left unread on a reused connection."""
     router = fleet.routers[1]
     fleet.targets["e1"].fault(token_delay=0.002)
 
--- a/tests/test_catalogues.py
+++ b/tests/test_catalogues.py
@@ -1,4 +1,4 @@
-"""Catalogues in the docs and the code hold together."""
+"""The catalogues of events, metrics and errors in the documentation match the code."""
 
 import pathlib
 import re
--- a/tests/test_clock.py
+++ b/tests/test_clock.py
@@ -1,4 +1,4 @@
-"""The product has one steady clock, and it counts the time for which the machine was suspended."""
+"""Whinrack reads one monotonic clock, which includes the time the machine was suspended."""
 
 import pathlib
 import re
@@ -34,7 +34,7 @@
 
 @pytest.fixture
 def suspended_seconds(monkeypatch):
-    """Let the machine be suspended for the seconds that are put into the list."""
+    """Simulate a suspension of as many seconds as the first item of the list says."""
     seconds = [0.0]
     monkeypatch.setattr(
         clock, "steady", lambda: time.clock_gettime(time.CLOCK_MONOTONIC) + seconds[0]
--- a/tests/test_command_line.py
+++ b/tests/test_command_line.py
@@ -1,4 +1,4 @@
-"""The command line: help, exit codes, policies and settings outside a fleet."""
+"""The command line without a fleet: help, exit codes, policies and settings."""
 
 import pathlib
 import subprocess
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -1,4 +1,4 @@
-"""Accepted configuration: in force everywhere soon, never an older version after a newer."""
+"""Configuration reaches every router within seconds, and its version never decreases."""
 
 import json
 import threading
@@ -73,7 +73,7 @@
     fleet.put("Workspace", "w", {"weighting": "false_refusals"})
     fleet.platform.fault(down=True)
     fleet.routers[1].thaw()
-    # The platform is away: only the peers can tell.
+    # The platform is unavailable, so the router can fetch the change from its peers only.
     wait_until(
         lambda: config_version(fleet, fleet.routers[0]) == read_stored_version_during_outage(fleet)
     )
@@ -120,7 +120,8 @@
 
 
 def test_eight_routers_agree_with_two_watchers_a_hall():
-    # A short watch, so that those who started alone soon look whether they still should.
+    # With a short watch, routers that began to watch before they had heard of their peers soon
+    # check whether they still have to.
     settings = {
         "membership": {**FAST_SETTINGS["membership"], "watchers_per_hall": "1"},
         "platform": {"watch_wait": "1"},
--- a/tests/test_connections.py
+++ b/tests/test_connections.py
@@ -1,4 +1,4 @@
-"""Idle connections, slow headers and slow readers do not stop others."""
+"""Idle connections, slow headers and slow readers do not block other requests."""
 
 import json
 import resource
@@ -16,7 +16,7 @@
 
 @pytest.fixture(scope="module")
 def fleet():
-    # Routers inherit it: each idle connection takes one descriptor at either end.
+    # Routers inherit the limit; an idle connection takes one descriptor at each end.
     _, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     resource.setrlimit(resource.RLIMIT_NOFILE, (hard, hard))
     settings = {"http": {"header_timeout": str(HEADER_SECONDS)}}
@@ -30,9 +30,10 @@
 
 
 def assert_served(fleet):
-    """Serve a request; the order of events is judged, the limit only ends a hopeless wait.
+    """Assert that a streamed request is answered.
 
-    docs/MEASUREMENTS.md has the time that it takes on an idle machine.
+    The limit only stops a wait that cannot succeed: the tests check the order of events, not
+    the time. docs/MEASUREMENTS.md has the time that it takes on an idle machine.
     """
     began = time.monotonic()
     answer = fleet.caller.stream(fleet.routers[0])
@@ -41,7 +42,7 @@
 
 
 def has_received_nothing(sock):
-    """Whether the other side has neither sent anything nor closed."""
+    """Return whether the peer has neither sent data nor closed the connection."""
     sock.setblocking(False)
     try:
         sock.recv(1, socket.MSG_PEEK)
@@ -65,7 +66,7 @@
     with connect(fleet.routers[0]) as sock:
         sock.sendall(b"GET /healthz HTTP/1.1\r\nHost: x\r\nX-Slow: ")
         assert_served(fleet)
-        assert has_received_nothing(sock), "the request waited for the slow caller's end"
+        assert has_received_nothing(sock), "answered after the slow connection only"
         assert sock.recv(100).startswith(b"HTTP/1.1 408")
 
 
--- a/tests/test_golden.py
+++ b/tests/test_golden.py
@@ -1,6 +1,6 @@
-"""Whole sessions against golden files, byte for byte.
+"""Compare transcripts of sessions with golden files, byte for byte.
 
-``WHINRACK_REGENERATE=1`` writes the files anew; read the difference before committing it.
+``WHINRACK_REGENERATE=1`` rewrites the files; review the diff before committing it.
 """
 
 import os
@@ -30,7 +30,7 @@
 
 
 def format_answer(answer):
-    """Write an answer down, without what differs from run to run."""
+    """Format an answer without the headers and identifiers that differ between runs."""
     kept = ("content-type", "whinrack", "retry-after", "x-should-retry", "x-service")
     headers = [
         f"{name}: {value}"
@@ -53,26 +53,32 @@
         usage = {"stream": True, "stream_options": {"include_usage": True}}
         record("a stream", caller.stream(first, text="why flaky", max_tokens=3))
         record("a stream with usage", caller.chat(first, text="a b", max_tokens=2, fields=usage))
-        record("a whole answer", caller.chat(first, text="tag this", max_tokens=3))
-        record("a key", caller.chat(first, text="file this", max_tokens=2, key="k1"))
+        record("a non-streamed answer", caller.chat(first, text="tag this", max_tokens=3))
+        record("an idempotency key", caller.chat(first, text="file this", max_tokens=2, key="k1"))
         record(
-            "the same key elsewhere", caller.chat(second, text="file this", max_tokens=2, key="k1")
+            "the same key at another router",
+            caller.chat(second, text="file this", max_tokens=2, key="k1"),
         )
         record("the key with another body", caller.chat(second, text="no", max_tokens=2, key="k1"))
-        record("an alert", caller.post(first, key="k2", repeatable="no"))
-        record("the alert again", caller.post(second, key="k2", repeatable="no"))
+        record("a request that is not repeatable", caller.post(first, key="k2", repeatable="no"))
+        record("the same request at another router", caller.post(second, key="k2", repeatable="no"))
         record("models", first.call("GET", "/v1/models", headers=caller.headers()))
-        record("no key", first.call("POST", "/v1/chat/completions", {}))
-        record("an absurd limit", caller.chat(first, max_tokens=-1))
+        record("no API key", first.call("POST", "/v1/chat/completions", {}))
+        record("a negative max_tokens", caller.chat(first, max_tokens=-1))
         record("an unknown model", caller.chat(first, fields={"model": "none"}))
-        record("too much for the budget", caller.chat(first, text="x" * 2000, max_tokens=3))
+        record(
+            "a request larger than the budget", caller.chat(first, text="x" * 2000, max_tokens=3)
+        )
         fleet.targets["e1"].fault(busy=True)
-        record("a busy target", caller.chat(first, text="busy", max_tokens=3))
+        record("an overloaded target", caller.chat(first, text="busy", max_tokens=3))
         fleet.targets["e1"].fault(busy=False, foreign_id=True)
-        record("a foreign answer", caller.stream(first, text="foreign", max_tokens=3))
+        record("an answer to another request", caller.stream(first, text="foreign", max_tokens=3))
         fleet.targets["e1"].fault(foreign_id=False)
         fleet.platform.fault(down=True)
-        record("an alert without platform", caller.post(first, key="k3", repeatable="no"))
+        record(
+            "a request that is not repeatable, without platform",
+            caller.post(first, key="k3", repeatable="no"),
+        )
         fleet.platform.fault(down=False)
         wait_until(lambda: not fleet.status(first)["grants"][0]["unreported"])
         lines.append("--- the bill\n" + fleet.whinrack("bill").stdout)
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -1,4 +1,4 @@
-"""Leaving targets get no new work soon; planned stops cut nothing off."""
+"""Leaving targets soon get no new requests; planned stops interrupt no request."""
 
 import threading
 import time
@@ -18,7 +18,7 @@
 
 
 class Load:
-    """Callers that ask which address to use, keep the answer, and send requests."""
+    """Threads that send requests to the addresses listed by ``/v1/entry``."""
 
     def __init__(self, fleet, threads=6, max_tokens=20):
         self.fleet = fleet
@@ -44,16 +44,16 @@
                 self.failures.append(error)
 
     def _router(self, number):
-        """Choose among the addresses that a serving instance names."""
+        """Choose one of the addresses that a running router lists as entry points."""
         serving = [router for router in self.fleet.routers if router.running]
         by_address = {router.address: router for router in serving}
         try:
             entry = serving[number % len(serving)].json("GET", "/v1/entry")
         except urllib3.exceptions.HTTPError:
-            # It has just stopped: ask another one.
+            # The router has just stopped, so ask the next one.
             return self._router(number + 1)
-        named = [by_address[a] for a in entry["addresses"] if a in by_address]
-        return named[number % len(named)]
+        listed = [by_address[a] for a in entry["addresses"] if a in by_address]
+        return listed[number % len(listed)]
 
     def stop_sending(self):
         self.stopping.set()
@@ -74,7 +74,7 @@
 
 
 def seconds_until_last_start(fleet, name, watched=5.0):
-    """Return the time from now until the last start that a target sees."""
+    """Return the seconds from now until the last request that a target starts."""
     began = last = time.monotonic()
     count = start_count(fleet, name)
     while time.monotonic() - began < watched:
--- a/tests/test_once.py
+++ b/tests/test_once.py
@@ -1,4 +1,7 @@
-"""Billed once; run at most once where it may not be repeated; "not run" is never wrong."""
+"""Requests are billed once, and run at most once unless they may be repeated.
+
+An outcome of "not run" is only reported for requests that did not run.
+"""
 
 import json
 import threading
@@ -17,7 +20,7 @@
     wait_until,
 )
 
-# No heartbeat is so late that a peer looks gone, however busy the machine is.
+# No peer is suspected because a busy machine delays its heartbeats.
 _LATE_SUSPICION_SETTINGS = {"membership": {"suspect_after": "30"}}
 
 
@@ -29,7 +32,7 @@
 
 @pytest.fixture
 def stable_membership_fleet():
-    """A fleet whose instances agree on who is there."""
+    """Start a fleet whose instances all have the same member list."""
     with start_fleet(settings=_LATE_SUSPICION_SETTINGS) as started:
         yield started
 
@@ -47,7 +50,7 @@
 
 
 def kill_during_request(fleet, send, victim=0):
-    """Send a request to a router and kill it while its target works."""
+    """Send a request and kill the router while the target processes the request."""
     thread = threading.Thread(target=lambda: run_in_parallel(send))
     before = sum(len(process.starts()) for process in fleet.targets.values())
     thread.start()
@@ -78,7 +81,7 @@
 
 
 def stream_at_all_routers(fleet, key):
-    """Send one request to all routers at once; returns the texts of the answers."""
+    """Send one request to all routers concurrently and return the texts of the answers."""
     answers = run_in_parallel(
         *[lambda router=router: fleet.caller.stream(router, key=key) for router in fleet.routers]
     )
@@ -109,21 +112,24 @@
 
 
 def test_instances_with_different_member_lists_bill_a_request_once(fleet):
-    """Without a ticket they ask different homes: it may run twice, and is billed once."""
+    """Without a ticket they consult different homes, so a request may run twice.
+
+    It is billed once nevertheless.
+    """
     fleet.targets["e1"].fault(token_delay=0.02)
     for number, router in enumerate(fleet.routers, start=1):
         pause_until_suspected(router)
         assert stream_at_all_routers(fleet, f"same {number}") == {
             expected_text("one two three", 10)
         }
-    billed = read_bill(fleet)
-    assert (billed["requests"], billed["tokens"]) == (3, 39)
+    bill = read_bill(fleet)
+    assert (bill["requests"], bill["tokens"]) == (3, 39)
     starts = len(fleet.targets["e1"].starts())
-    assert billed["duplicate_tokens"] == 13 * (starts - 3)
+    assert bill["duplicate_tokens"] == 13 * (starts - 3)
 
 
 def pause_until_suspected(router):
-    """Stop a router for longer than it takes to look gone at its peers."""
+    """Suspend a router for longer than the ``suspect_after`` of its peers."""
     router.freeze()
     time.sleep(1.4)
     router.thaw()
@@ -158,7 +164,7 @@
 
 
 def test_a_router_killed_after_the_answer_has_billed_it(fleet):
-    """The end of an answer waits for its bill, so a kill right after it loses nothing."""
+    """An answer ends only after its bill is stored, so a kill right after it loses no bill."""
     for number in range(5):
         assert fleet.caller.stream(fleet.routers[0], text=f"t {number}").status == 200
     fleet.routers[0].kill()
@@ -181,7 +187,7 @@
     assert fleet.caller.post(fleet.routers[2], **other).status == 200
 
 
-# --- requests that may not be repeated -----------------------------------------------------
+# --- requests that are not repeatable -----------------------------------------------------
 
 
 def test_not_repeatable_requests_run_once_at_any_instance(fleet):
@@ -266,7 +272,7 @@
 
 @pytest.mark.parametrize("ticketed", [True, False])
 def test_a_home_never_runs_what_it_ceded_to_a_lost_owner(fleet, ticketed):
-    """Found by reading: the first retry at the home was refused, the second one ran."""
+    """Found in review: the home refused the first retry, but ran the second one."""
     ticket = get_ticket(fleet.routers[0])
     options = {"key": "alert", "repeatable": "no"}
     fleet.targets["s1"].fault(delay=1.0)
@@ -296,7 +302,7 @@
 
 
 def test_an_unmarked_post_is_not_sent_twice(fleet):
-    """Found by reading: a notice whose answer broke would have been posted again."""
+    """Found in review: a post whose answer was cut off would have been sent again."""
     fleet.targets["s1"].fault(cut=True)
     assert outcome(fleet.caller.post(fleet.routers[0])) == "unknown"
     assert service_starts(fleet) == 1
--- a/tests/test_outcome_report.py
+++ b/tests/test_outcome_report.py
@@ -1,4 +1,4 @@
-"""The table of what became of requests, from logs."""
+"""The report of request outcomes, computed from logs."""
 
 from click.testing import CliRunner
 
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -1,4 +1,4 @@
-"""Peers without the fleet's key or certificate are refused; secrets stay out of logs."""
+"""Peers without the fleet key or a certificate are refused; logs contain no secrets."""
 
 import asyncio
 import contextlib
@@ -44,7 +44,7 @@
 
 @pytest.fixture
 def certificates(tmp_path):
-    """Write an authority and a certificate of it."""
+    """Write a certificate authority, a certificate signed by it and its private key."""
     authority_key, authority = _make_certificate("fleet", None, None)
     key, certificate = _make_certificate("router", authority_key, authority)
     paths = {name: tmp_path / f"{name}.pem" for name in ("authority", "certificate", "private_key")}
@@ -91,7 +91,7 @@
 
 
 def test_a_feed_does_not_reply_continuously_to_a_follower_that_is_ahead():
-    """Found by eight routers starting at once: the source sent replies without a pause."""
+    """When eight routers started at once, the feed sent replies without a pause."""
 
     async def count_feed_messages(address):
         host, _, port = address.partition(":")
--- a/tests/test_ports.py
+++ b/tests/test_ports.py
@@ -1,4 +1,4 @@
-"""Ports of started processes: neither connections nor other tests get them."""
+"""Ports of started processes are not used by outgoing connections or other tests."""
 
 import pathlib
 import socket
@@ -12,7 +12,7 @@
 
 
 def first_ephemeral_port():
-    """Return the first port that the system gives to outgoing connections."""
+    """Return the first port of the system's range for outgoing connections."""
     path = pathlib.Path("/proc/sys/net/ipv4/ip_local_port_range")
     return int(path.read_text().split()[0]) if path.exists() else _DEFAULT_FIRST_EPHEMERAL_PORT
 
@@ -28,7 +28,7 @@
 
 def test_consecutive_ports_are_all_reserved(monkeypatch):
     first = ports.free_ports(5)
-    # The next one may be reserved, too, by a test before this one.
+    # An earlier test may have reserved the next port already.
     after = next(port for port in range(first + 5, ports._LAST) if _can_be_reserved(port))
     monkeypatch.setattr(ports.random, "randrange", _return_in_turn(first + 2, first + 4, after))
     assert ports.free_port() == after
--- a/tests/test_refusal_report.py
+++ b/tests/test_refusal_report.py
@@ -1,4 +1,4 @@
-"""The report on refusals that one counter of all instances would not have made."""
+"""The report of refusals that a single counter for all instances would have avoided."""
 
 from tools.refusal_report import read_lines, report
 
--- a/tests/test_spend.py
+++ b/tests/test_spend.py
@@ -1,4 +1,4 @@
-"""Spend never exceeds the prepaid budget; counted at the engines, not in our books."""
+"""Spend never exceeds the prepaid budget, by the tokens that the engines count themselves."""
 
 import threading
 import time
@@ -8,7 +8,7 @@
 from tests.support import read_budget, run_in_parallel, start_fleet, wait_until
 
 BUDGET = 4000
-# A budget is used up within this time at any speed, seconds; and seconds between two looks.
+# Seconds within which the budget is exhausted even on a slow machine, and seconds between checks.
 _REFUSAL_SECONDS = 60.0
 _ROUND_SECONDS = 0.5
 
@@ -30,7 +30,7 @@
 
 
 def send_requests(fleet, routers, seconds, statuses):
-    """Send requests to routers in turn until the time is over."""
+    """Send requests to the routers in turn for some seconds."""
     end = time.monotonic() + seconds
     number = 0
     while time.monotonic() < end:
@@ -45,7 +45,7 @@
 
 
 def send_until_refused(fleet, statuses):
-    """Go on until the budget is at its end: a busy machine uses up 3,151 of 4,000 in 5 s."""
+    """Send requests until one is refused; a busy machine used only 3,151 of 4,000 in 5 s."""
     end = time.monotonic() + _REFUSAL_SECONDS
     while not {402, 429} & set(statuses) and time.monotonic() < end:
         send_requests(fleet, fleet.routers, _ROUND_SECONDS, statuses)
@@ -117,12 +117,12 @@
         books = assert_books_balance(fleet)
         assert generated_tokens(fleet) <= books["limit"]
         assert statuses.count(200) > 20
-        # A holder that was killed or woke late still holds tokens: contended, not exhausted.
+        # A killed or late holder still holds tokens: budget_contended, not budget_exhausted.
         assert 402 in statuses or 429 in statuses
 
 
 def test_partitioned_regions_spend_only_their_own_grants():
-    """Two regions lose each other and the platform; both keep serving from their grants."""
+    """Two regions lose contact with each other and the platform, and serve from their grants."""
     halls = (("north", "a"), ("south", "b"))
     settings = {"budgets": {"horizon": "20"}}
     with start_fleet(
