--- a/benchmarks/bench_budgets.py
+++ b/benchmarks/bench_budgets.py
@@ -15,7 +15,7 @@
 import simpy
 from returns.result import Failure, Success
 
-from benchmarks.report import report, section
+from benchmarks.report import print_heading, report
 from standins.memory_store import MemoryStore
 from whinrack.budgets import (
     ACCOUNT_KIND,
@@ -38,11 +38,11 @@
 COVER = 600
 RATE = 20.0
 DURATION = 240.0
-ENDLESS = 10**9
+UNLIMITED = 10**9
 REPORT_INTERVAL = 2.0
 
 
-class Ways:
+class CoverStrategy:
     """Base of the ways to cover requests; the same interface for each."""
 
     name = ""
@@ -70,7 +70,7 @@
         """End an instance without warning; a new one takes its place."""
 
 
-class Grants(Ways):
+class Grants(CoverStrategy):
     """Whinrack's own way."""
 
     name = "grants"
@@ -78,16 +78,18 @@
     def __init__(self, env, limit, weighting, horizon=600.0):
         super().__init__(env, limit, weighting)
         self.horizon = horizon
-        self.drawer = AccountWriter(self.store, nullcontext, seed=1, sleep=lambda seconds: None)
-        self.generation = dict.fromkeys(range(INSTANCES), 1)
-        self.keepers = {i: self._keeper(i) for i in range(INSTANCES)}
+        self.account_writer = AccountWriter(
+            self.store, nullcontext, seed=1, sleep=lambda seconds: None
+        )
+        self.generations = dict.fromkeys(range(INSTANCES), 1)
+        self.managers = {i: self._make_manager(i) for i in range(INSTANCES)}
         env.process(self._report())
 
-    def _keeper(self, instance):
+    def _make_manager(self, instance):
         return BudgetManager(
-            f"r{instance}.{self.generation[instance]}",
-            _Direct(self.drawer),
-            _Peers(self, instance),
+            f"r{instance}.{self.generations[instance]}",
+            _DirectSource(self.account_writer),
+            _PeerSource(self, instance),
             horizon=self.horizon,
             gather_wait=0.0,
             clock=lambda: self.env.now,
@@ -95,12 +97,12 @@
 
     def cover(self, instance, tokens):
         """Cover a request from what this way holds."""
-        result = self.keepers[instance].cover("a", "b", tokens, self.weighting)
+        result = self.managers[instance].cover("a", "b", tokens, self.weighting)
         return result.unwrap() if isinstance(result, Success) else None
 
-    def may_wait(self, instance, tokens):
+    def retry(self, instance, tokens):
         """Whether a refused request may be tried again shortly: the tokens exist."""
-        result = self.keepers[instance].cover("a", "b", tokens, self.weighting)
+        result = self.managers[instance].cover("a", "b", tokens, self.weighting)
         if isinstance(result, Success):
             return result.unwrap()
         return isinstance(result.failure(), BudgetContended)
@@ -111,37 +113,37 @@
 
     def kill(self, instance):
         """Lose what the instance held."""
-        self.generation[instance] += 1
-        self.keepers[instance] = self._keeper(instance)
+        self.generations[instance] += 1
+        self.managers[instance] = self._make_manager(instance)
 
     def _report(self):
         while True:
             yield self.env.timeout(REPORT_INTERVAL)
-            for keeper in list(self.keepers.values()):
-                keeper.report()
+            for manager in list(self.managers.values()):
+                manager.report()
 
 
-class _Direct(TokenSource):
-    def __init__(self, drawer):
-        self.drawer = drawer
+class _DirectSource(TokenSource):
+    def __init__(self, account_writer):
+        self.account_writer = account_writer
 
     def draw(self, order):
-        return self.drawer.draw(order)
+        return self.account_writer.draw(order)
 
 
-class _Peers(SpareTokenSource):
+class _PeerSource(SpareTokenSource):
     def __init__(self, ways, instance):
         self.ways, self.instance = ways, instance
 
     def request_from_peers(self, budget, need, wish, received):
-        own = self.ways.keepers[self.instance].holder
-        for peer, keeper in self.ways.keepers.items():
+        own = self.ways.managers[self.instance].holder
+        for peer, manager in self.ways.managers.items():
             if peer != self.instance:
-                total = keeper.give(budget, own, received.get(keeper.holder, 0), need, wish)
-                yield TransferTotal(keeper.holder, total)
+                total = manager.give(budget, own, received.get(manager.holder, 0), need, wish)
+                yield TransferTotal(manager.holder, total)
 
 
-class WritePerRequest(Ways):
+class WritePerRequest(CoverStrategy):
     """A conditional write before each request and one after it."""
 
     name = "write_per_request"
@@ -154,12 +156,12 @@
 
     def cover(self, instance, tokens):
         """Cover a request from what this way holds."""
-        before = self._row().drawn
+        drawn_before = self._row().drawn
         if not self._write(need=tokens):
             return None
-        got = self._row().drawn - before
-        if got < tokens:
-            self.returned += got
+        drawn = self._row().drawn - drawn_before
+        if drawn < tokens:
+            self.returned += drawn
             self._write(need=0)
             return None
         return tokens
@@ -200,7 +202,7 @@
 _NO_ROW = _NoRow()
 
 
-class StaticSplit(Ways):
+class StaticSplit(CoverStrategy):
     """An equal part for each instance, once."""
 
     name = "static_split"
@@ -226,19 +228,19 @@
         self.left[instance] = 0
 
 
-class Run:
+class Simulation:
     """One scenario with one way."""
 
-    def __init__(self, make, scenario, seed, weighting, limit):
+    def __init__(self, strategy_class, scenario, seed, weighting, limit):
         self.env = simpy.Environment()
-        self.ways = make(self.env, limit, weighting)
+        self.ways = strategy_class(self.env, limit, weighting)
         self.limit = limit
         self.random = random.Random(seed)
         self.weighting = weighting
         self.used = self.open = self.requests = 0
-        self.false = self.early = self.refused = 0
+        self.false_refusals = self.early_refusals = self.refused = 0
         self.lost = 0
-        self.patience = 1.0 if weighting is Weighting.FALSE_REFUSALS else 0.0
+        self.max_wait = 1.0 if weighting is Weighting.FALSE_REFUSALS else 0.0
         weights = scenario.get("weights", [1] * INSTANCES)
         self.instances = self.random.choices(range(INSTANCES), weights, k=int(RATE * DURATION) + 1)
         self.killed_at = {}
@@ -256,39 +258,39 @@
     def _arrivals(self):
         for instance in self.instances:
             yield self.env.timeout(self.random.expovariate(RATE))
-            use, length = self.random.randint(100, COVER), self.random.uniform(0.5, 4.0)
-            self.env.process(self._request(instance, use, length))
+            tokens, duration = self.random.randint(100, COVER), self.random.uniform(0.5, 4.0)
+            self.env.process(self._request(instance, tokens, duration))
 
-    def _request(self, instance, use, length):
+    def _request(self, instance, tokens, duration):
         self.requests += 1
         handle = self.ways.cover(instance, COVER)
         waited = 0.0
-        while handle is None and waited < self.patience and isinstance(self.ways, Grants):
+        while handle is None and waited < self.max_wait and isinstance(self.ways, Grants):
             yield self.env.timeout(0.1)
             waited += 0.1
-            again = self.ways.may_wait(instance, COVER)
-            if again is False:
+            retried = self.ways.retry(instance, COVER)
+            if retried is False:
                 break
-            if again is not True:
-                handle = again
+            if retried is not True:
+                handle = retried
         if handle is None:
             self._count_refusal()
             return
         self.open += COVER
-        generation = self.killed_at.get(instance)
-        yield self.env.timeout(length)
+        killed_at = self.killed_at.get(instance)
+        yield self.env.timeout(duration)
         self.open -= COVER
-        self.used += use
-        if self.killed_at.get(instance) == generation:
-            self.ways.settle(handle, use)
+        self.used += tokens
+        if self.killed_at.get(instance) == killed_at:
+            self.ways.settle(handle, tokens)
 
     def _count_refusal(self):
         self.refused += 1
         left = self.limit - self.used - self.open
         if left >= COVER:
-            self.false += 1
+            self.false_refusals += 1
         if left >= COVER * INSTANCES:
-            self.early += 1
+            self.early_refusals += 1
 
     def _outage(self, start, seconds):
         yield self.env.timeout(start)
@@ -305,8 +307,8 @@
 SCENARIOS = {
     "tail": ({}, LIMIT),
     "skew": ({"weights": [30, 1, 1, 1, 1, 1, 1, 1]}, LIMIT),
-    "outage_180s": ({"outage": (30.0, 180.0)}, ENDLESS),
-    "outage_45s": ({"outage": (60.0, 45.0)}, ENDLESS),
+    "outage_180s": ({"outage": (30.0, 180.0)}, UNLIMITED),
+    "outage_45s": ({"outage": (60.0, 45.0)}, UNLIMITED),
     "kills": ({"kills": [(60.0, 1), (90.0, 5)]}, LIMIT),
 }
 SEEDS = range(3)
@@ -315,26 +317,37 @@
 def main():
     """Run every scenario with every way."""
     for scenario, (fields, limit) in SCENARIOS.items():
-        section(f"budgets: {scenario}")
+        print_heading(f"budgets: {scenario}")
         for weighting in Weighting:
-            for make in (Grants, WritePerRequest, StaticSplit):
-                if make is not Grants and weighting is Weighting.FALSE_REFUSALS:
+            for strategy_class in (Grants, WritePerRequest, StaticSplit):
+                if strategy_class is not Grants and weighting is Weighting.FALSE_REFUSALS:
                     continue
-                runs = [Run(make, fields, seed, weighting, limit).run() for seed in SEEDS]
-                _report(scenario, make.name, weighting, runs)
+                runs = [
+                    Simulation(strategy_class, fields, seed, weighting, limit).run()
+                    for seed in SEEDS
+                ]
+                _report(scenario, strategy_class.name, weighting, runs)
 
 
-def _report(scenario, way, weighting, runs):
-    labels = {"scenario": scenario, "way": way, "weighting": str(weighting)}
+def _report(scenario, strategy_name, weighting, runs):
+    labels = {"scenario": scenario, "way": strategy_name, "weighting": str(weighting)}
     requests = sum(run.requests for run in runs)
     overspend = sum(max(0, run.used - run.limit) for run in runs)
     calls = sum(run.ways.store.calls for run in runs)
     report("overspend", overspend, "tokens", **labels)
-    report("false_refusals", 1000 * sum(r.false for r in runs) / requests, "per 1000", **labels)
     report(
-        "early_false_refusals", 1000 * sum(r.early for r in runs) / requests, "per 1000", **labels
+        "false_refusals",
+        1000 * sum(r.false_refusals for r in runs) / requests,
+        "per 1000",
+        **labels,
+    )
+    report(
+        "early_false_refusals",
+        1000 * sum(r.early_refusals for r in runs) / requests,
+        "per 1000",
+        **labels,
     )
-    if runs[0].limit != ENDLESS:
+    if runs[0].limit != UNLIMITED:
         left = sum(max(0, run.limit - run.used) for run in runs)
         report("unspent_at_the_end", 100 * left / sum(run.limit for run in runs), "%", **labels)
     report("platform_calls", 1000 * calls / requests, "per 1000", **labels)
--- a/benchmarks/bench_capacity.py
+++ b/benchmarks/bench_capacity.py
@@ -11,7 +11,7 @@
 import msgspec
 from returns.result import Success
 
-from benchmarks.report import fit, report, section
+from benchmarks.report import fit_line, print_heading, report
 from standins.memory_store import MemoryStore
 from whinrack.budgets import (
     BudgetAccount,
@@ -36,16 +36,16 @@
 from whinrack.store import StoredObject
 
 
-def show(name, points, unit, per):
+def report_slope(name, points, unit, per):
     """Report points and their line."""
     for size, value in points:
         report(name, value, unit, size=size)
-    slope, intercept = fit(points)
+    slope, intercept = fit_line(points)
     report(f"{name}.slope", slope, f"{unit}/{per}")
     report(f"{name}.intercept", intercept, unit)
 
 
-def seconds_of(function, times):
+def cpu_seconds_per_call(function, times):
     """Return the processor seconds of one call, by the mean of many."""
     began = time.process_time()
     for _ in range(times):
@@ -53,15 +53,15 @@
     return (time.process_time() - began) / times
 
 
-def bytes_of(build):
+def allocated_bytes(build):
     """Return the bytes that what `build` returns keeps allocated."""
     gc.collect()
     tracemalloc.start()
-    kept = build()
+    retained = build()
     gc.collect()
     size = tracemalloc.get_traced_memory()[0]
     tracemalloc.stop()
-    del kept
+    del retained
     return size
 
 
@@ -91,7 +91,7 @@
 
 def measure_accounts():
     """Size of an account object, and processor time of one write of it."""
-    section("budget accounts")
+    print_heading("budget accounts")
     sizes, times = [], []
     for budgets in (10, 50, 200, 800):
         value = msgspec.json.encode(account_with(budgets))
@@ -110,17 +110,17 @@
             msgspec.json.encode(account)
 
         sizes.append((budgets, len(value)))
-        times.append((budgets, 1e6 * seconds_of(write, 50)))
-    show("account_bytes", sizes, "B", "budget")
-    show("account_write_cpu", times, "us", "budget")
+        times.append((budgets, 1e6 * cpu_seconds_per_call(write, 50)))
+    report_slope("account_bytes", sizes, "B", "budget")
+    report_slope("account_write_cpu", times, "us", "budget")
     rows = [
         (holders, len(msgspec.json.encode(account_with(10, holders))) / 10)
         for holders in (1, 8, 64, 380)
     ]
-    show("budget_bytes_by_holders", rows, "B", "holder")
+    report_slope("budget_bytes_by_holders", rows, "B", "holder")
 
 
-class _Source(TokenSource):
+class _AccountSource(TokenSource):
     def __init__(self):
         self.entries = {}
 
@@ -137,45 +137,45 @@
         return ()
 
 
-def measure_keepers():
+def measure_budget_managers():
     """Memory of budgets held here, and processor time of a cover and of a report round."""
-    section("budgets held by one daemon")
+    print_heading("budgets held by one daemon")
     memory, covers, reports = [], [], []
     for budgets in (1000, 3000, 10_000):
-        source = _Source()
+        source = _AccountSource()
 
         def build(budgets=budgets, source=source):
-            keeper = BudgetManager("r.1", source, _NoSpares())
+            manager = BudgetManager("r.1", source, _NoSpares())
             for number in range(budgets):
                 name = f"budget-{number:06d}"
-                keeper.cover("a", name, 100, Weighting.OVERSPEND).unwrap().settle(0)
-            return keeper
+                manager.cover("a", name, 100, Weighting.OVERSPEND).unwrap().settle(0)
+            return manager
 
         def build_alone(build=build, source=source):
-            keeper = build()
+            manager = build()
             source.entries.clear()
-            return keeper
+            return manager
 
-        memory.append((budgets, bytes_of(build_alone)))
-        source = _Source()
-        keeper = build(source=source)
+        memory.append((budgets, allocated_bytes(build_alone)))
+        source = _AccountSource()
+        manager = build(source=source)
 
-        def cover(keeper=keeper):
-            keeper.cover("a", "budget-000001", 1, Weighting.OVERSPEND).unwrap().settle(1)
+        def cover(manager=manager):
+            manager.cover("a", "budget-000001", 1, Weighting.OVERSPEND).unwrap().settle(1)
 
-        covers.append((budgets, 1e6 * seconds_of(cover, 2000)))
+        covers.append((budgets, 1e6 * cpu_seconds_per_call(cover, 2000)))
         # Nine in ten are idle by then: spent to the last token, and reported.
-        for number, held in enumerate(keeper._holdings.values()):
+        for number, held in enumerate(manager._holdings.values()):
             if number % 10:
                 tokens = held.ledger.spendable
                 held.ledger.open(tokens).unwrap().settle(tokens)
                 held.demand = DemandEstimate()
-        keeper.report(include_idle=True)
-        keeper.report()
-        reports.append((budgets, 1e3 * seconds_of(keeper.report, 3)))
-    show("held_budgets_memory", memory, "B", "budget")
-    show("cover_cpu", covers, "us", "budget")
-    show("report_round_cpu", reports, "ms", "budget")
+        manager.report(include_idle=True)
+        manager.report()
+        reports.append((budgets, 1e3 * cpu_seconds_per_call(manager.report, 3)))
+    report_slope("held_budgets_memory", memory, "B", "budget")
+    report_slope("cover_cpu", covers, "us", "budget")
+    report_slope("report_round_cpu", reports, "ms", "budget")
 
 
 # --- configuration -------------------------------------------------------------------------
@@ -193,7 +193,7 @@
 
 def measure_configuration():
     """Memory and processor time of objects in force, and of one change."""
-    section("configuration")
+    print_heading("configuration")
     memory, times = [], []
     for count in (1000, 5000, 20_000):
 
@@ -202,10 +202,10 @@
             config.apply_snapshot(count, budget_objects(count))
             return config
 
-        memory.append((count, bytes_of(build)))
-        times.append((count, 1e3 * seconds_of(build, 1)))
-    show("config_memory", memory, "B", "object")
-    show("config_snapshot_cpu", times, "ms", "object")
+        memory.append((count, allocated_bytes(build)))
+        times.append((count, 1e3 * cpu_seconds_per_call(build, 1)))
+    report_slope("config_memory", memory, "B", "object")
+    report_slope("config_snapshot_cpu", times, "ms", "object")
     config = ConfigStore()
     config.apply_snapshot(20_000, budget_objects(20_000))
     version = [20_000]
@@ -215,9 +215,9 @@
         stored = budget_objects(1)[0]
         config.apply_batch(version[0], [msgspec.structs.replace(stored, version=version[0])])
 
-    report("config_change_cpu", 1e6 * seconds_of(change, 500), "us")
+    report("config_change_cpu", 1e6 * cpu_seconds_per_call(change, 500), "us")
     since = version[0] - 1
-    lookup = seconds_of(lambda: config.changes_after(since), 5)
+    lookup = cpu_seconds_per_call(lambda: config.changes_after(since), 5)
     report("config_changes_after_cpu", 1e6 * lookup, "us", objects=20_000)
     message = object_to_pb(budget_objects(1)[0])
     report("config_change_message", message.ByteSize(), "B")
@@ -242,8 +242,8 @@
 
 def measure_membership():
     """Processor time of one heartbeat and one look at the fleet, and bytes on the wire."""
-    section("membership")
-    beats, looks, memory = [], [], []
+    print_heading("membership")
+    heartbeats, choices, memory = [], [], []
     for count in (8, 64, 380):
         members = [member(number) for number in range(count)]
 
@@ -253,7 +253,7 @@
                 table.record_heartbeat(member_from_pb(member_to_pb(one)), 0.0)
             return table
 
-        memory.append((count, bytes_of(build)))
+        memory.append((count, allocated_bytes(build)))
         table = build()
 
         def beat(table=table, members=members):
@@ -261,14 +261,20 @@
             decoded = pb.HeartbeatRequest.FromString(message.SerializeToString())
             table.record_heartbeat(member_from_pb(decoded.sender), 0.0)
 
-        beats.append((count, 1e6 * seconds_of(beat, 500)))
+        heartbeats.append((count, 1e6 * cpu_seconds_per_call(beat, 500)))
         own = members[0]
-        looks.append(
-            (count, 1e6 * seconds_of(lambda t=table, o=own: t.drawing_incarnation(o, "a", 0.0), 50))
+        choices.append(
+            (
+                count,
+                1e6
+                * cpu_seconds_per_call(
+                    lambda t=table, o=own: t.drawing_incarnation(o, "a", 0.0), 50
+                ),
+            )
         )
-    show("member_memory", memory, "B", "member")
-    show("heartbeat_cpu", beats, "us", "member")
-    show("drawer_choice_cpu", looks, "us", "member")
+    report_slope("member_memory", memory, "B", "member")
+    report_slope("heartbeat_cpu", heartbeats, "us", "member")
+    report_slope("drawer_choice_cpu", choices, "us", "member")
     size = pb.HeartbeatRequest(sender=member_to_pb(member(1))).ByteSize()
     report("heartbeat_message", size, "B")
     order = DrawOrder(
@@ -282,28 +288,28 @@
 
 def measure_requests():
     """Memory of remembered requests and processor time of one consultation."""
-    section("request memory")
+    print_heading("request memory")
     digest = body_digest(b"body")
     memory = []
     for count in (1000, 5000, 20_000):
 
         def build(count=count):
-            kept = RequestMemory("r.1", max_entries=count)
+            retained = RequestMemory("r.1", max_entries=count)
             for number in range(count):
-                kept.reserve(f"workspace-1/key-{number:012d}", digest, 0.0)
-                kept.set_state(f"workspace-1/key-{number:012d}", RunState.FINISHED, 0.0)
-            return kept
+                retained.reserve(f"workspace-1/key-{number:012d}", digest, 0.0)
+                retained.set_state(f"workspace-1/key-{number:012d}", RunState.FINISHED, 0.0)
+            return retained
 
-        memory.append((count, bytes_of(build)))
-    show("request_entry_memory", memory, "B", "request")
-    kept = build()
-    ask = lambda: kept.consult("workspace-1/key-000000000007", digest, "b.1", "", True, 0.0)  # noqa: E731
-    report("consult_cpu", 1e6 * seconds_of(ask, 2000), "us")
+        memory.append((count, allocated_bytes(build)))
+    report_slope("request_entry_memory", memory, "B", "request")
+    retained = build()
+    consult = lambda: retained.consult("workspace-1/key-000000000007", digest, "b.1", "", True, 0.0)  # noqa: E731
+    report("consult_cpu", 1e6 * cpu_seconds_per_call(consult, 2000), "us")
 
 
 def measure_journal():
     """Processor time and bytes of one commit by the records in it."""
-    section("journal")
+    print_heading("journal")
     times, sizes = [], []
     for records in (1, 8, 32, 128):
         store = MemoryStore()
@@ -315,16 +321,16 @@
                 writer.add(record)
             writer.commit()
 
-        times.append((records, 1e6 * seconds_of(commit, 40)))
+        times.append((records, 1e6 * cpu_seconds_per_call(commit, 40)))
         written = sum(len(item.value) for item in store.objects.values())
         sizes.append((records, written / len(store.objects) / 256 * records))
-    show("journal_commit_cpu", times, "us", "record")
-    show("journal_bytes_kept", sizes, "B", "record")
+    report_slope("journal_commit_cpu", times, "us", "record")
+    report_slope("journal_bytes_kept", sizes, "B", "record")
 
 
 def measure_routing():
     """Processor time of one choice by the targets of a pool."""
-    section("routing")
+    print_heading("routing")
     picks, facts = [], []
     for count in (10, 100, 450, 1000):
         pool = PoolState("p", TargetPool(models=("m",)), seed=1)
@@ -336,16 +342,16 @@
         def pick(pool=pool, query=query):
             pool.pick(query, 0.0).end_request()
 
-        picks.append((count, 1e6 * seconds_of(pick, 200)))
-        facts.append((count, 1e6 * seconds_of(lambda pool=pool: pool.facts(0.0), 200)))
-    show("pick_cpu", picks, "us", "target")
-    show("pool_facts_cpu", facts, "us", "target")
+        picks.append((count, 1e6 * cpu_seconds_per_call(pick, 200)))
+        facts.append((count, 1e6 * cpu_seconds_per_call(lambda pool=pool: pool.facts(0.0), 200)))
+    report_slope("pick_cpu", picks, "us", "target")
+    report_slope("pool_facts_cpu", facts, "us", "target")
 
 
 def main():
     """Measure every slope."""
     measure_accounts()
-    measure_keepers()
+    measure_budget_managers()
     measure_configuration()
     measure_membership()
     measure_requests()
--- a/benchmarks/bench_edge.py
+++ b/benchmarks/bench_edge.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from benchmarks.report import report, section
+from benchmarks.report import print_heading, report
 from whinrack.budgets import (
     BudgetAccount,
     DrawOrder,
@@ -22,14 +22,14 @@
 ROUNDS = 200
 
 
-def _microseconds(function, rounds: int = ROUNDS) -> float:
+def _cpu_microseconds(function, rounds: int = ROUNDS) -> float:
     began = time.process_time()
     for _ in range(rounds):
         function()
     return (time.process_time() - began) / rounds * 1e6
 
 
-def _orders(holder: int, sequence: int) -> list[DrawOrder]:
+def _make_orders(holder: int, sequence: int) -> list[DrawOrder]:
     return [
         DrawOrder(
             account="a",
@@ -49,69 +49,69 @@
     ]
 
 
-def _books(holders: int) -> BudgetAccount:
+def _make_account(holders: int) -> BudgetAccount:
     account = None
     for holder in range(holders):
-        account = apply_draws(account, _orders(holder, 1))
+        account = apply_draws(account, _make_orders(holder, 1))
     return account
 
 
-def measure_books() -> None:
+def measure_accounts() -> None:
     """Report bytes and processor time of one write of the books, by holders."""
     for holders in HOLDERS:
-        data = msgspec.json.encode(_books(holders))
+        data = msgspec.json.encode(_make_account(holders))
         decode = msgspec.json.Decoder(BudgetAccount).decode
 
         def write(data=data, decode=decode):
             account = decode(data)
-            orders = _orders(0, 2)
+            orders = _make_orders(0, 2)
             apply_draws(account, orders)
             results_for_holder(account, orders[0].holder, orders)
             msgspec.json.encode(account)
 
         report("books", len(data), "B", holders=holders, budgets=BUDGETS)
-        report("write_of_books", _microseconds(write, 20), "us", holders=holders)
+        report("write_of_books", _cpu_microseconds(write, 20), "us", holders=holders)
 
 
 def measure_heartbeats() -> None:
     """Report bytes and messages of heartbeats and the time to take one in, by peers."""
     for peers in HOLDERS:
-        sender, receiver = _table_of(peers), _table_of(peers)
-        message = _heartbeat(0, 2, sender)
+        sender, receiver = _make_table(peers), _make_table(peers)
+        message = _make_heartbeat(0, 2, sender)
         encoded = msgspec.msgpack.encode(message)
         decode = msgspec.msgpack.Decoder(Heartbeat).decode
         times = iter(range(3, 10**9))
 
-        def take(encoded=encoded, decode=decode, receiver=receiver, times=times):
+        def receive(encoded=encoded, decode=decode, receiver=receiver, times=times):
             received = decode(encoded)
             receiver.record_heartbeat(msgspec.structs.replace(received, number=next(times)), 0.0)
 
         report("heartbeat", len(encoded), "B", peers=peers)
-        brief = msgspec.structs.replace(message, ages=sender.ages(0.0, own_hall_only=True))
-        report("brief_heartbeat", len(msgspec.msgpack.encode(brief)), "B", peers=peers)
+        short = msgspec.structs.replace(message, ages=sender.ages(0.0, own_hall_only=True))
+        report("brief_heartbeat", len(msgspec.msgpack.encode(short)), "B", peers=peers)
         report(
             "heartbeats_sent",
-            _receivers(sender) / sender.heartbeat_interval(0.25),
+            _receiver_count(sender) / sender.heartbeat_interval(0.25),
             "/s",
             peers=peers,
         )
-        report("heartbeat_taken_in", _microseconds(take), "us", peers=peers)
+        report("heartbeat_taken_in", _cpu_microseconds(receive), "us", peers=peers)
 
 
-def _receivers(table: PeerTable) -> int:
+def _receiver_count(table: PeerTable) -> int:
     chosen = table.next_receivers(0.0)
     return len(chosen.own_hall) + len(chosen.other_halls)
 
 
-def _table_of(peers: int) -> PeerTable:
+def _make_table(peers: int) -> PeerTable:
     """Return the table of an instance that has heard all others."""
     table = PeerTable("instance", 1.0, 60.0, seed=1, data_hall="hall-0")
     for number in range(peers):
-        table.record_heartbeat(_heartbeat(number, 1, PeerTable("", 1.0, 60.0)), 0.0)
+        table.record_heartbeat(_make_heartbeat(number, 1, PeerTable("", 1.0, 60.0)), 0.0)
     return table
 
 
-def _heartbeat(number: int, sequence: int, sender: PeerTable) -> Heartbeat:
+def _make_heartbeat(number: int, sequence: int, sender: PeerTable) -> Heartbeat:
     host = f"10.0.{number // 250}.{number % 250}"
     state = PeerState(
         incarnation=f"instance-{number}.0123456789",
@@ -138,13 +138,13 @@
         def choose(registry=registry):
             registry.choose("p", "prefix", (), 0.0)
 
-        report("choice_by_prefix", _microseconds(choose), "us", targets=count)
+        report("choice_by_prefix", _cpu_microseconds(choose), "us", targets=count)
 
 
 def main() -> None:
     """Run the benchmark."""
-    section("edge: books, heartbeats, choices")
-    measure_books()
+    print_heading("edge: books, heartbeats, choices")
+    measure_accounts()
     measure_heartbeats()
     measure_choice()
 
--- a/benchmarks/bench_fleet.py
+++ b/benchmarks/bench_fleet.py
@@ -6,12 +6,12 @@
 
 import psutil
 
-from benchmarks.report import fit, percentile, report, section
+from benchmarks.report import fit_line, percentile, print_heading, report
 from tests.support import start_fleet
 
 ROUTERS = 8
 CHANGES = 40
-DEFAULTS = {
+SETTINGS = {
     "membership": {"heartbeat_interval": "1", "suspect_after": "3.5", "list_interval": "2"},
     "budgets": {"check_interval": "2", "report_after": "10", "horizon": "600"},
     "journal": {"commit_interval": "0.05"},
@@ -24,27 +24,27 @@
 
     def __init__(self, fleet, threads=8):
         self.fleet = fleet
-        self.ended = threading.Event()
-        self.bad = 0
+        self.stopping = threading.Event()
+        self.incomplete = 0
         self.threads = [threading.Thread(target=self._run, args=(i,)) for i in range(threads)]
         for thread in self.threads:
             thread.start()
 
     def _run(self, index):
-        while not self.ended.is_set():
+        while not self.stopping.is_set():
             index += 1
             router = self.fleet.routers[index % ROUTERS]
             answer = self.fleet.caller.stream(router, max_tokens=5)
-            self.bad += not answer.data.endswith(b"data: [DONE]\n\n")
+            self.incomplete += not answer.data.endswith(b"data: [DONE]\n\n")
 
-    def end(self):
+    def stop_sending(self):
         """Stop sending."""
-        self.ended.set()
+        self.stopping.set()
         for thread in self.threads:
             thread.join()
 
 
-def last_start(fleet, name, watched, began=None):
+def seconds_until_last_start(fleet, name, watched, began=None):
     """Return seconds from `began`, or now, until the last start that a target sees."""
     began = last = began or time.monotonic()
     count = len(fleet.targets[name].starts())
@@ -58,7 +58,7 @@
 
 def measure_leaving(fleet):
     """Drain a target by its object, by the list alone, and by the list without platform."""
-    section("leaving: seconds until the last new start, 8 routers under load")
+    print_heading("leaving: seconds until the last new start, 8 routers under load")
     load = Load(fleet)
     time.sleep(1.0)
     fleet.platform.fault(list_lag=10.0)
@@ -67,33 +67,35 @@
     address = fleet.targets["e1"].address
     spec = {"pool": "chat", "address": address, "instance": "i-e1", "state": "leaving"}
     fleet.put("Target", "e1", spec)
-    seconds = last_start(fleet, "e1", 5.0, began)
+    seconds = seconds_until_last_start(fleet, "e1", 5.0, began)
     report("leaving_seconds", seconds, "s", by="object", list_lag=10)
     fleet.platform.fault(list_lag=0.0)
     fleet.list_target("i-e2", "leaving")
-    report("leaving_seconds", last_start(fleet, "e2", 5.0), "s", by="list", list_lag=0)
-    load.end()
-    report("leaving_cut_requests", load.bad, "requests")
+    report(
+        "leaving_seconds", seconds_until_last_start(fleet, "e2", 5.0), "s", by="list", list_lag=0
+    )
+    load.stop_sending()
+    report("leaving_cut_requests", load.incomplete, "requests")
 
 
 def measure_leaving_without_platform(fleet):
     """One router learns of a leaving target just before the platform goes away."""
-    section("leaving with the platform down: the word goes from peer to peer")
+    print_heading("leaving with the platform down: the word goes from peer to peer")
     load = Load(fleet)
     time.sleep(0.5)
     fleet.list_target("i-e3", "leaving")
     while not any(fleet.status(r)["leaving_targets"].count("e3") for r in fleet.routers):
         time.sleep(0.01)
     fleet.platform.fault(down=True)
-    seconds = last_start(fleet, "e3", 5.0)
+    seconds = seconds_until_last_start(fleet, "e3", 5.0)
     report("leaving_seconds", seconds, "s", by="peers", platform="down")
-    load.end()
+    load.stop_sending()
     fleet.platform.fault(down=False)
 
 
 def measure_configuration(fleet):
     """Change an object again and again and poll all routers until it is in force."""
-    section("configuration: seconds until in force at 8 routers")
+    print_heading("configuration: seconds until in force at 8 routers")
     seconds = []
     for number in range(CHANGES):
         value = {"weighting": ("false_refusals", "overspend")[number % 2]}
@@ -109,7 +111,7 @@
 
 def measure_platform_calls(fleet):
     """Count the platform's calls of an idle fleet."""
-    section("platform calls of 8 idle routers")
+    print_heading("platform calls of 8 idle routers")
     before = fleet.platform.json("GET", "/counts")
     time.sleep(10.0)
     after = fleet.platform.json("GET", "/counts")
@@ -121,10 +123,10 @@
 
 def measure_idle(sizes=(1, 2, 4, 8)):
     """Measure what control costs a daemon, by the number of daemons."""
-    section("control: an idle daemon's CPU and memory by the size of the fleet")
+    print_heading("control: an idle daemon's CPU and memory by the size of the fleet")
     points = []
     for size in sizes:
-        with start_fleet(routers=size, engines=("e1",), settings=DEFAULTS) as fleet:
+        with start_fleet(routers=size, engines=("e1",), settings=SETTINGS) as fleet:
             process = psutil.Process(fleet.routers[0].popen.pid)
             time.sleep(3.0)
             before = sum(process.cpu_times()[:2])
@@ -133,7 +135,7 @@
             points.append((size - 1, percent))
             report("idle_cpu", percent, "% of a core", routers=size)
             report("idle_memory", process.memory_info().rss / 1e6, "MB", routers=size)
-    slope, intercept = fit(points)
+    slope, intercept = fit_line(points)
     report("idle_cpu.slope", slope, "%/peer")
     report("idle_cpu.intercept", intercept, "% of a core")
 
@@ -144,7 +146,7 @@
     halls = (("south", "a"), ("south", "b"), ("south", "c"))
     engines = ("e1", "e2", "e3", "e4")
     with start_fleet(
-        routers=ROUTERS, engines=engines, budget=10**9, halls=halls, settings=DEFAULTS
+        routers=ROUTERS, engines=engines, budget=10**9, halls=halls, settings=SETTINGS
     ) as fleet:
         for name in engines:
             fleet.targets[name].fault(token_delay=0.005)
--- a/benchmarks/bench_load.py
+++ b/benchmarks/bench_load.py
@@ -9,7 +9,7 @@
 
 import psutil
 
-from benchmarks.report import percentile, report, section
+from benchmarks.report import percentile, print_heading, report
 from tests.support import declare_target, start_fleet
 
 TOKENS = 20
@@ -19,7 +19,7 @@
 SECONDS = 15.0
 
 
-class Offer:
+class OpenLoop:
     """Sends requests at a fixed rate, whether or not earlier ones have ended."""
 
     def __init__(self, fleet, kind, rate, seconds, **headers):
@@ -28,9 +28,9 @@
         self.rate = rate
         self.seconds = seconds
         self.headers = headers
-        self.times, self.refused, self.early, self.other = [], 0, [], 0
+        self.answer_seconds, self.refused, self.refusal_seconds, self.failed = [], 0, [], 0
         self.without_retry_after = 0
-        self._requests = []
+        self._threads = []
 
     def run(self):
         """Offer for the whole time and wait for every answer."""
@@ -39,13 +39,13 @@
             pause = began + number / self.rate - time.monotonic()
             if pause > 0:
                 time.sleep(pause)
-            thread = threading.Thread(target=self._one, args=(number,))
+            thread = threading.Thread(target=self._send, args=(number,))
             thread.start()
-            self._requests.append(thread)
-        for thread in self._requests:
+            self._threads.append(thread)
+        for thread in self._threads:
             thread.join()
 
-    def _one(self, number):
+    def _send(self, number):
         router = self.fleet.routers[number % len(self.fleet.routers)]
         began = time.monotonic()
         try:
@@ -53,31 +53,31 @@
                 router, max_tokens=TOKENS, kind=self.kind, **self.headers
             )
         except Exception:
-            self.other += 1
+            self.failed += 1
             return
         seconds = time.monotonic() - began
         if answer.status == 200:
-            self.times.append(seconds)
+            self.answer_seconds.append(seconds)
         elif answer.status in (429, 503):
             self.refused += 1
-            self.early.append(seconds)
+            self.refusal_seconds.append(seconds)
             self.without_retry_after += "Retry-After" not in answer.headers
         else:
-            self.other += 1
+            self.failed += 1
 
 
-def tell(offer, phase):
+def report_load(load, phase):
     """Report one offer."""
-    labels = {"phase": phase, "class": offer.kind}
-    if offer.times:
-        report("answer_seconds", percentile(offer.times, 0.5), "s", at="median", **labels)
-        report("answer_seconds", percentile(offer.times, 0.99), "s", at="99th", **labels)
-    report("answered", len(offer.times), "requests", **labels)
-    report("refused", offer.refused, "requests", **labels)
-    if offer.early:
-        report("refusal_seconds", percentile(offer.early, 0.5), "s", at="median", **labels)
-    report("refused_without_retry_after", offer.without_retry_after, "requests", **labels)
-    report("failed_otherwise", offer.other, "requests", **labels)
+    labels = {"phase": phase, "class": load.kind}
+    if load.answer_seconds:
+        report("answer_seconds", percentile(load.answer_seconds, 0.5), "s", at="median", **labels)
+        report("answer_seconds", percentile(load.answer_seconds, 0.99), "s", at="99th", **labels)
+    report("answered", len(load.answer_seconds), "requests", **labels)
+    report("refused", load.refused, "requests", **labels)
+    if load.refusal_seconds:
+        report("refusal_seconds", percentile(load.refusal_seconds, 0.5), "s", at="median", **labels)
+    report("refused_without_retry_after", load.without_retry_after, "requests", **labels)
+    report("failed_otherwise", load.failed, "requests", **labels)
 
 
 def main():
@@ -87,24 +87,24 @@
             fleet.targets[name].fault(token_delay=TOKEN_DELAY)
             declare_target(fleet, name, "chat", fleet.targets[name], max_concurrency=4)
         fleet.wait_config()
-        section("load: interactive work alone")
-        alone = Offer(fleet, "interactive", INTERACTIVE_RATE, 8.0)
+        print_heading("load: interactive work alone")
+        alone = OpenLoop(fleet, "interactive", INTERACTIVE_RATE, 8.0)
         alone.run()
-        tell(alone, "alone")
-        section("load: twice the capacity")
-        interactive = Offer(fleet, "interactive", INTERACTIVE_RATE, SECONDS)
-        deferrable = Offer(fleet, "deferrable", DEFERRABLE_RATE, SECONDS, deadline="20")
-        threads = [threading.Thread(target=offer.run) for offer in (interactive, deferrable)]
+        report_load(alone, "alone")
+        print_heading("load: twice the capacity")
+        interactive = OpenLoop(fleet, "interactive", INTERACTIVE_RATE, SECONDS)
+        deferrable = OpenLoop(fleet, "deferrable", DEFERRABLE_RATE, SECONDS, deadline="20")
+        threads = [threading.Thread(target=load.run) for load in (interactive, deferrable)]
         for thread in threads:
             thread.start()
         for thread in threads:
             thread.join()
-        tell(interactive, "overload")
-        tell(deferrable, "overload")
-        section("load: right after the overload")
-        after = Offer(fleet, "interactive", INTERACTIVE_RATE, 5.0)
+        report_load(interactive, "overload")
+        report_load(deferrable, "overload")
+        print_heading("load: right after the overload")
+        after = OpenLoop(fleet, "interactive", INTERACTIVE_RATE, 5.0)
         after.run()
-        tell(after, "after")
+        report_load(after, "after")
         memory = max(psutil.Process(r.popen.pid).memory_info().rss for r in fleet.routers)
         report("memory_after_overload", memory / 1e6, "MB")
         retries = sum(
--- a/benchmarks/bench_router.py
+++ b/benchmarks/bench_router.py
@@ -10,7 +10,7 @@
 
 import psutil
 
-from benchmarks.report import percentile, report, section
+from benchmarks.report import percentile, print_heading, report
 from tests.support import start_fleet
 
 REQUESTS = 600
@@ -55,7 +55,7 @@
     return times.user + times.system
 
 
-def in_threads(count, function):
+def run_in_threads(count, function):
     """Run a function in threads and wait for all."""
     threads = [threading.Thread(target=function, args=(index,)) for index in range(count)]
     for thread in threads:
@@ -66,18 +66,18 @@
 
 def measure_first_token(fleet, router, engine):
     """Compare time to the first byte, in turn through the router and directly."""
-    section("router: time to the first byte of a stream")
-    through = Client(router, fleet.caller.bearer)
+    print_heading("router: time to the first byte of a stream")
+    routed = Client(router, fleet.caller.bearer)
     direct = Client(engine)
     seconds = {"through": [], "direct": []}
     for number in range(REQUESTS // 2):
-        for name, client in (("through", through), ("direct", direct)):
-            taken, body = client.chat(2, stream=True)
+        for name, client in (("through", routed), ("direct", direct)):
+            elapsed, body = client.chat(2, stream=True)
             assert body.endswith(b"data: [DONE]\n\n")
             if number >= 20:
-                seconds[name].append(taken)
+                seconds[name].append(elapsed)
     for share, name in ((0.5, "median"), (0.99, "99th")):
-        values = {key: 1000 * percentile(found, share) for key, found in seconds.items()}
+        values = {key: 1000 * percentile(samples, share) for key, samples in seconds.items()}
         report("first_byte_direct", values["direct"], "ms", at=name)
         report("first_byte_through", values["through"], "ms", at=name)
         report("first_byte_added", values["through"] - values["direct"], "ms", at=name)
@@ -85,36 +85,36 @@
 
 def measure_requests(fleet, router):
     """Measure CPU a request and requests a second with whole answers."""
-    section("router: whole answers of one token")
+    print_heading("router: whole answers of one token")
     for clients in (1, 16):
-        each = REQUESTS // clients
+        requests_per_client = REQUESTS // clients
 
-        def run(_index, each=each):
+        def run(_index, requests_per_client=requests_per_client):
             client = Client(router, fleet.caller.bearer)
-            for _ in range(each):
+            for _ in range(requests_per_client):
                 client.chat(1)
 
-        in_threads(clients, run)
+        run_in_threads(clients, run)
         cpu, began = cpu_seconds(router), time.perf_counter()
-        in_threads(clients, run)
+        run_in_threads(clients, run)
         seconds = time.perf_counter() - began
-        done = each * clients
-        report("cpu_per_request", 1000 * (cpu_seconds(router) - cpu) / done, "ms", clients=clients)
-        report("requests_per_second", done / seconds, "per s", clients=clients)
+        total = requests_per_client * clients
+        report("cpu_per_request", 1000 * (cpu_seconds(router) - cpu) / total, "ms", clients=clients)
+        report("requests_per_second", total / seconds, "per s", clients=clients)
 
 
 def measure_tokens(fleet, router, engine):
     """Measure CPU a relayed token with many streams open."""
-    section(f"router: {STREAMS} streams of {TOKENS} tokens at {1 / TOKEN_DELAY:g} a second")
+    print_heading(f"router: {STREAMS} streams of {TOKENS} tokens at {1 / TOKEN_DELAY:g} a second")
     engine.fault(token_delay=TOKEN_DELAY)
 
     def run(_index):
         _, body = Client(router, fleet.caller.bearer).chat(TOKENS, stream=True)
         assert body.count(b'"content"') == TOKENS
 
-    idle = idle_cpu(router)
+    idle = idle_cpu_share(router)
     cpu, began = cpu_seconds(router), time.perf_counter()
-    in_threads(STREAMS, run)
+    run_in_threads(STREAMS, run)
     seconds = time.perf_counter() - began
     used = cpu_seconds(router) - cpu
     tokens = STREAMS * TOKENS
@@ -125,7 +125,7 @@
     engine.fault(token_delay=0.0)
 
 
-def idle_cpu(router):
+def idle_cpu_share(router):
     """Return the share of a core that an idle router uses."""
     cpu = cpu_seconds(router)
     time.sleep(4.0)
@@ -143,10 +143,10 @@
             {"pool": "chat", "address": engine.address, "max_concurrency": 200},
         )
         fleet.wait_config()
-        section("router: at rest")
+        print_heading("router: at rest")
         memory = psutil.Process(router.popen.pid).memory_info().rss
         report("memory_at_rest", memory / 1e6, "MB")
-        report("cpu_at_rest", 100 * idle_cpu(router), "% of a core")
+        report("cpu_at_rest", 100 * idle_cpu_share(router), "% of a core")
         measure_first_token(fleet, router, engine)
         measure_requests(fleet, router)
         measure_tokens(fleet, router, engine)
--- a/benchmarks/bench_warm_up.py
+++ b/benchmarks/bench_warm_up.py
@@ -13,12 +13,12 @@
 
 import simpy
 
-from benchmarks.report import report, section
+from benchmarks.report import print_heading, report
 from whinrack.base import rendezvous
 from whinrack.dispatch import SharedRatePermits, WarmUpLimits
 
 RATE = 9.9
-BOUND = WarmUpLimits(1.5, 5.0).rate_bound(RATE)
+RATE_BOUND = WarmUpLimits(1.5, 5.0).rate_bound(RATE)
 FLEET = [f"m{number}" for number in range(87)]
 SERVING = FLEET[:6]
 DEMAND = 8.0
@@ -32,12 +32,12 @@
     """A token bucket of depth one."""
 
     def __init__(self, rate):
-        self.rate, self.permits, self.at = rate, 1.0, 0.0
+        self.rate, self.permits, self.time = rate, 1.0, 0.0
 
     def try_take(self, now):
         """Take a permit if there is a whole one."""
-        self.permits = min(1.0, self.permits + self.rate * (now - self.at))
-        self.at = now
+        self.permits = min(1.0, self.permits + self.rate * (now - self.time))
+        self.time = now
         if self.permits < 1.0:
             return False
         self.permits -= 1.0
@@ -50,7 +50,7 @@
     def __init__(self, name, view, target):
         self.bucket = Bucket(RATE / len(view))
 
-    def may_send(self, now):
+    def try_send(self, now):
         """Whether one more request is sent."""
         return self.bucket.try_take(now)
 
@@ -62,21 +62,21 @@
         super().__init__(name, FLEET, target)
 
 
-class Holders:
+class OneHolder:
     """The first few by rendezvous share the rate."""
 
     count = 1
 
     def __init__(self, name, view, target):
-        holds = name in rendezvous(target, view)[: self.count]
-        self.bucket = Bucket(RATE / self.count) if holds else None
+        is_holder = name in rendezvous(target, view)[: self.count]
+        self.bucket = Bucket(RATE / self.count) if is_holder else None
 
-    def may_send(self, now):
+    def try_send(self, now):
         """Whether one more request is sent."""
         return self.bucket is not None and self.bucket.try_take(now)
 
 
-class FourHolders(Holders):
+class FourHolders(OneHolder):
     """Four of them."""
 
     count = 4
@@ -91,16 +91,16 @@
     def __init__(self, name, view, target):
         grantor = rendezvous(target, view)[0]
         self.granted = RATE / len(view) if grantor in view else 0.0
-        self.second, self.left = -1, 0.0
+        self.second, self.remaining = -1, 0.0
 
-    def may_send(self, now):
+    def try_send(self, now):
         """Whether one more request is sent."""
         if int(now / LEASE_SECONDS) > self.second:
             self.second = int(now / LEASE_SECONDS)
-            self.left = (self.left % 1.0) + self.granted * LEASE_SECONDS
-        if self.left < 1.0:
+            self.remaining = (self.remaining % 1.0) + self.granted * LEASE_SECONDS
+        if self.remaining < 1.0:
             return False
-        self.left -= 1.0
+        self.remaining -= 1.0
         return True
 
 
@@ -111,79 +111,82 @@
         self.permits = SharedRatePermits(name, lambda: view)
         self.target = target
 
-    def may_send(self, now):
+    def try_send(self, now):
         """Whether one more request is sent."""
-        if not self.permits.has_permit(self.target, BOUND, now):
+        if not self.permits.has_permit(self.target, RATE_BOUND, now):
             return False
-        self.permits.take_permit(self.target, BOUND, now)
+        self.permits.take_permit(self.target, RATE_BOUND, now)
         return True
 
 
-WAYS = {
+STRATEGIES = {
     "equal shares of those with callers": EqualShares,
     "equal shares of the fleet": EqualSharesOfAll,
-    "one holder": Holders,
+    "one holder": OneHolder,
     "four holders": FourHolders,
     "leases": Leases,
     "few holders, half the bound each": FewHolders,
 }
 
 
-def agreeing(draw):
+def identical_views(rng):
     """All count the same instances."""
     return dict.fromkeys(SERVING, SERVING)
 
 
-def halves(draw):
+def partitioned_views(rng):
     """Each half of a cut counts itself only."""
     return {name: SERVING[:3] if name in SERVING[:3] else SERVING[3:] for name in SERVING}
 
 
-def differing(draw):
+def stale_views(rng):
     """Each lacks two of the others, and counts two that are gone."""
     return {
-        name: sorted({name, *draw.sample(SERVING, 4), *draw.sample(FLEET[6:], 2)})
-        for name in SERVING
+        name: sorted({name, *rng.sample(SERVING, 4), *rng.sample(FLEET[6:], 2)}) for name in SERVING
     }
 
 
-VIEWS = {"agree": agreeing, "halves": halves, "differ": differing}
+VIEWS = {"agree": identical_views, "halves": partitioned_views, "differ": stale_views}
 
 
-def play(way, views, target, seed):
+def simulate(strategy_class, views, target, seed):
     """Return the moments at which requests are sent to one target."""
-    draw = random.Random(seed)
+    rng = random.Random(seed)
     environment = simpy.Environment()
     sends = []
 
-    def caller(share):
+    def caller(strategy):
         while True:
-            yield environment.timeout(draw.expovariate(DEMAND))
-            if share.may_send(environment.now):
+            yield environment.timeout(rng.expovariate(DEMAND))
+            if strategy.try_send(environment.now):
                 sends.append(environment.now)
 
-    for name, view in views(draw).items():
-        environment.process(caller(way(name, view, target)))
+    for name, view in views(rng).items():
+        environment.process(caller(strategy_class(name, view, target)))
     environment.run(until=SECONDS)
     return sends
 
 
-def most_in_a_second(sends):
+def max_sends_per_second(sends):
     """Return the most sends within one second."""
-    return max(sum(0.0 <= at - first < 1.0 for at in sends) for first in sends) if sends else 0
+    return max(sum(0.0 <= time - first < 1.0 for time in sends) for first in sends) if sends else 0
 
 
 def main():
     """Compare the ways."""
-    bound = BOUND.max_requests
-    section(f"cold targets: {RATE} a second are borne, {bound} may reach one in a second")
-    for way, kind in WAYS.items():
+    bound = RATE_BOUND.max_requests
+    print_heading(f"cold targets: {RATE} a second are borne, {bound} may reach one in a second")
+    for strategy_name, strategy_class in STRATEGIES.items():
         for name, views in VIEWS.items():
-            plays = [play(kind, views, target, seed) for target in TARGETS for seed in SEEDS]
-            used = sum(map(len, plays)) / (len(plays) * RATE * SECONDS)
-            report("warm_up_rate_used", used, "of rate", way=way, views=name)
-            worst = max(map(most_in_a_second, plays))
-            report("warm_up_most_in_a_second", worst, "requests", way=way, views=name)
+            runs = [
+                simulate(strategy_class, views, target, seed)
+                for target in TARGETS
+                for seed in SEEDS
+            ]
+            used = sum(map(len, runs)) / (len(runs) * RATE * SECONDS)
+            report("warm_up_rate_used", used, "of rate", way=strategy_name, views=name)
+            worst = max(map(max_sends_per_second, runs))
+            report("warm_up_most_in_a_second", worst, "requests", way=strategy_name, views=name)
 
 
 if __name__ == "__main__":
--- a/benchmarks/report.py
+++ b/benchmarks/report.py
@@ -3,10 +3,10 @@
 import json
 import sys
 
-__all__ = ["fit", "percentile", "report", "section"]
+__all__ = ["fit_line", "percentile", "print_heading", "report"]
 
 
-def section(title: str) -> None:
+def print_heading(title: str) -> None:
     """Print a heading."""
     print(f"\n== {title}", flush=True)
 
@@ -25,7 +25,7 @@
     return ordered[min(len(ordered) - 1, int(share * len(ordered)))]
 
 
-def fit(points):
+def fit_line(points):
     """Return slope and intercept of the least-squares line through (x, y) points."""
     count = len(points)
     mean_x = sum(x for x, _ in points) / count
