--- a/benchmarks/__init__.py
+++ b/benchmarks/__init__.py
@@ -1,1 +1,1 @@
-"""Measurements of whole mechanisms; ``make bench`` runs them all."""
+"""Benchmarks of budgets, ejection, routers and fleets; ``make bench`` runs them all."""
--- a/benchmarks/__main__.py
+++ b/benchmarks/__main__.py
@@ -1,4 +1,4 @@
-"""Run every benchmark; figures go to standard output, JSON lines to standard error."""
+"""Run benchmarks; prints results to standard output and JSON lines to standard error."""
 
 import sys
 
@@ -26,7 +26,7 @@
 
 
 def main(names: list[str]) -> None:
-    """Run the named benchmarks, all of them if none is named."""
+    """Run the named benchmarks, or all of them if no name is given."""
     for name in names or BENCHMARKS:
         BENCHMARKS[name].main()
 
--- a/benchmarks/bench_budgets.py
+++ b/benchmarks/bench_budgets.py
@@ -1,12 +1,12 @@
-"""Overspend, false refusals and platform calls: grants against two baselines.
+"""Overspend, false refusals and platform calls of grants, compared with two baselines.
 
-Eight instances draw on one budget in simulated time (simpy). Every way sees the same
+Eight instances draw on one budget in simulated time (simpy). All strategies see the same
 seeded arrivals. The baselines are a conditional write at the start and at the end of
 each request, and an equal split of the budget at the start.
 
-A refusal is *false* if the budget, less what was used and what open requests are
-covered with, still had the request's cover. It is *early* if the cover of one request
-for each instance was left as well.
+A refusal is *false* if the budget, minus the tokens used and the cover of open requests,
+would still have covered the request. It is *early* if the rest would have covered one
+request of every instance.
 """
 
 import random
@@ -43,7 +43,7 @@
 
 
 class CoverStrategy:
-    """Base of the ways to cover requests; the same interface for each."""
+    """Base class of the strategies to cover requests."""
 
     name = ""
 
@@ -59,19 +59,19 @@
         self.store.calls = 0
 
     def cover(self, instance, tokens):
-        """Return a handle for a covered request, None for a refused one."""
+        """Return a handle of the covered request, or None if it is refused."""
         raise NotImplementedError
 
     def settle(self, handle, used):
-        """End a covered request."""
+        """Settle a covered request with the tokens it used."""
         raise NotImplementedError
 
     def kill(self, instance):
-        """End an instance without warning; a new one takes its place."""
+        """Kill an instance; a new one takes its place."""
 
 
 class Grants(CoverStrategy):
-    """Whinrack's own way."""
+    """The strategy of Whinrack: instances hold grants of tokens."""
 
     name = "grants"
 
@@ -96,23 +96,26 @@
         )
 
     def cover(self, instance, tokens):
-        """Cover a request from what this way holds."""
+        """Cover a request, or return None if the tokens do not suffice."""
         result = self.managers[instance].cover("a", "b", tokens, self.weighting)
         return result.unwrap() if isinstance(result, Success) else None
 
     def retry(self, instance, tokens):
-        """Whether a refused request may be tried again shortly: the tokens exist."""
+        """Retry a refused request.
+
+        Returns the cover, or whether another retry is useful: other requests hold tokens now.
+        """
         result = self.managers[instance].cover("a", "b", tokens, self.weighting)
         if isinstance(result, Success):
             return result.unwrap()
         return isinstance(result.failure(), BudgetContended)
 
     def settle(self, handle, used):
-        """Give back what was not used."""
+        """Settle a request and return its unused tokens."""
         handle.settle(used)
 
     def kill(self, instance):
-        """Lose what the instance held."""
+        """Kill an instance, which loses the tokens it held."""
         self.generations[instance] += 1
         self.managers[instance] = self._make_manager(instance)
 
@@ -155,7 +158,7 @@
         self.returned = 0
 
     def cover(self, instance, tokens):
-        """Cover a request from what this way holds."""
+        """Cover a request, or return None if the tokens do not suffice."""
         drawn_before = self._row().drawn
         if not self._write(need=tokens):
             return None
@@ -167,7 +170,7 @@
         return tokens
 
     def settle(self, handle, used):
-        """Give back what was not used."""
+        """Settle a request and return its unused tokens."""
         self.billed += used
         self.returned += handle - used
         self._write(need=0)
@@ -203,7 +206,7 @@
 
 
 class StaticSplit(CoverStrategy):
-    """An equal part for each instance, once."""
+    """An equal split of the budget between the instances, made once."""
 
     name = "static_split"
 
@@ -212,24 +215,24 @@
         self.left = dict.fromkeys(range(INSTANCES), limit // INSTANCES)
 
     def cover(self, instance, tokens):
-        """Cover a request from what this way holds."""
+        """Cover a request, or return None if the tokens do not suffice."""
         if self.left[instance] < tokens:
             return None
         self.left[instance] -= tokens
         return (instance, tokens)
 
     def settle(self, handle, used):
-        """Give back what was not used."""
+        """Settle a request and return its unused tokens."""
         instance, tokens = handle
         self.left[instance] += tokens - used
 
     def kill(self, instance):
-        """Lose what the instance held."""
+        """Kill an instance, which loses the tokens it held."""
         self.left[instance] = 0
 
 
 class Simulation:
-    """One scenario with one way."""
+    """A simulation of one scenario with one strategy."""
 
     def __init__(self, strategy_class, scenario, seed, weighting, limit):
         self.env = simpy.Environment()
@@ -315,7 +318,7 @@
 
 
 def main():
-    """Run every scenario with every way."""
+    """Run every scenario with every strategy."""
     for scenario, (fields, limit) in SCENARIOS.items():
         print_heading(f"budgets: {scenario}")
         for weighting in Weighting:
--- a/benchmarks/bench_capacity.py
+++ b/benchmarks/bench_capacity.py
@@ -1,7 +1,7 @@
-"""Slopes of each role's state, messages and processor time, at three sizes or more.
+"""Growth of each role's state, messages and CPU time, measured at three sizes or more.
 
-Every figure is measured at the sizes shown and fitted by a straight line; what follows
-for the size aimed for is worked out in docs/CAPACITY.md from these lines.
+The results are fitted by a straight line; docs/CAPACITY.md extrapolates these lines to the
+intended fleet size.
 """
 
 import gc
@@ -37,7 +37,7 @@
 
 
 def report_slope(name, points, unit, per):
-    """Report points and their line."""
+    """Report values by size, and the slope and intercept of the line fitted to them."""
     for size, value in points:
         report(name, value, unit, size=size)
     slope, intercept = fit_line(points)
@@ -46,7 +46,7 @@
 
 
 def cpu_seconds_per_call(function, times):
-    """Return the processor seconds of one call, by the mean of many."""
+    """Return the mean CPU seconds of one call."""
     began = time.process_time()
     for _ in range(times):
         function()
@@ -54,7 +54,7 @@
 
 
 def allocated_bytes(build):
-    """Return the bytes that what `build` returns keeps allocated."""
+    """Return the bytes allocated by the object that `build` returns."""
     gc.collect()
     tracemalloc.start()
     retained = build()
@@ -69,7 +69,7 @@
 
 
 def account_with(budgets, holders=2):
-    """Return an account object with so many budgets, each held by some incarnations."""
+    """Return an account with a number of budgets, each with tokens drawn by several holders."""
     account = BudgetAccount()
     for number in range(budgets):
         name = f"budget-{number:06d}"
@@ -90,7 +90,7 @@
 
 
 def measure_accounts():
-    """Size of an account object, and processor time of one write of it."""
+    """Measure the size of an account object and the CPU time of one write."""
     print_heading("budget accounts")
     sizes, times = [], []
     for budgets in (10, 50, 200, 800):
@@ -138,7 +138,7 @@
 
 
 def measure_budget_managers():
-    """Memory of budgets held here, and processor time of a cover and of a report round."""
+    """Measure memory per held budget, and CPU time of a cover and of a report round."""
     print_heading("budgets held by one daemon")
     memory, covers, reports = [], [], []
     for budgets in (1000, 3000, 10_000):
@@ -164,7 +164,7 @@
             manager.cover("a", "budget-000001", 1, Weighting.OVERSPEND).unwrap().settle(1)
 
         covers.append((budgets, 1e6 * cpu_seconds_per_call(cover, 2000)))
-        # Nine in ten are idle by then: spent to the last token, and reported.
+        # Make nine of ten budgets idle: all of their tokens are spent and reported.
         for number, held in enumerate(manager._holdings.values()):
             if number % 10:
                 tokens = held.ledger.spendable
@@ -192,7 +192,7 @@
 
 
 def measure_configuration():
-    """Memory and processor time of objects in force, and of one change."""
+    """Measure memory and CPU time of a configuration, and CPU time of one change."""
     print_heading("configuration")
     memory, times = [], []
     for count in (1000, 5000, 20_000):
@@ -241,7 +241,7 @@
 
 
 def measure_membership():
-    """Processor time of one heartbeat and one look at the fleet, and bytes on the wire."""
+    """Measure CPU time of a heartbeat and of choosing the drawing instance, and message sizes."""
     print_heading("membership")
     heartbeats, choices, memory = [], [], []
     for count in (8, 64, 380):
@@ -287,7 +287,7 @@
 
 
 def measure_requests():
-    """Memory of remembered requests and processor time of one consultation."""
+    """Measure memory per remembered request and CPU time of one consultation."""
     print_heading("request memory")
     digest = body_digest(b"body")
     memory = []
@@ -308,7 +308,7 @@
 
 
 def measure_journal():
-    """Processor time and bytes of one commit by the records in it."""
+    """Measure CPU time and stored bytes of one commit, by its number of records."""
     print_heading("journal")
     times, sizes = [], []
     for records in (1, 8, 32, 128):
@@ -329,7 +329,7 @@
 
 
 def measure_routing():
-    """Processor time of one choice by the targets of a pool."""
+    """Measure CPU time of one pick, by the number of targets in the pool."""
     print_heading("routing")
     picks, facts = [], []
     for count in (10, 100, 450, 1000):
@@ -349,7 +349,7 @@
 
 
 def main():
-    """Measure every slope."""
+    """Run all measurements."""
     measure_accounts()
     measure_budget_managers()
     measure_configuration()
--- a/benchmarks/bench_edge.py
+++ b/benchmarks/bench_edge.py
@@ -1,4 +1,4 @@
-"""Slopes of what the edge daemon does besides requests: heartbeats, books, choices."""
+"""Cost of the edge daemon's work besides requests: heartbeats, budget accounts, choices."""
 
 import time
 
@@ -57,7 +57,7 @@
 
 
 def measure_accounts() -> None:
-    """Report bytes and processor time of one write of the books, by holders."""
+    """Report the size of an account and the CPU time of one write, by holders."""
     for holders in HOLDERS:
         data = msgspec.json.encode(_make_account(holders))
         decode = msgspec.json.Decoder(BudgetAccount).decode
@@ -74,7 +74,7 @@
 
 
 def measure_heartbeats() -> None:
-    """Report bytes and messages of heartbeats and the time to take one in, by peers."""
+    """Report the size and rate of heartbeats and the CPU time to process one, by peers."""
     for peers in HOLDERS:
         sender, receiver = _make_table(peers), _make_table(peers)
         message = _make_heartbeat(0, 2, sender)
@@ -104,7 +104,7 @@
 
 
 def _make_table(peers: int) -> PeerTable:
-    """Return the table of an instance that has heard all others."""
+    """Return the peer table of an instance that has received a heartbeat of every peer."""
     table = PeerTable("instance", 1.0, 60.0, seed=1, data_hall="hall-0")
     for number in range(peers):
         table.record_heartbeat(_make_heartbeat(number, 1, PeerTable("", 1.0, 60.0)), 0.0)
@@ -130,7 +130,7 @@
 
 
 def measure_choice() -> None:
-    """Report the time to choose a target by prompt prefix, by targets."""
+    """Report the CPU time to choose a target by prompt prefix, by targets."""
     for count in TARGETS:
         registry = TargetRegistry(seed=1)
         registry.replace_all([TargetRecord(f"i-{n}", "p", "127.0.0.1", n) for n in range(count)])
@@ -143,7 +143,7 @@
 
 def main() -> None:
     """Run the benchmark."""
-    print_heading("edge: books, heartbeats, choices")
+    print_heading("edge: budget accounts, heartbeats, choices")
     measure_accounts()
     measure_heartbeats()
     measure_choice()
--- a/benchmarks/bench_ejection.py
+++ b/benchmarks/bench_ejection.py
@@ -1,13 +1,13 @@
-"""Ejecting a target alone against asking the peers first, on the same faults.
+"""Local ejection of targets compared with ejection by majority vote, on the same faults.
 
-Eight instances and ten targets in simulated time. Half of the faults are a target that
-is really gone (all instances fail there), half are a link of one instance to one target.
-Wrong: an instance sets a healthy target aside for which its own link works, or keeps
-using one that is gone or that it cannot reach. Failures cost requests.
+Eight instances and ten targets in simulated time. In half of the faults a target is down, so
+every instance fails there; in the other half the link of one instance to one target is down.
+An instance is wrong if it ejects a healthy target that it can reach, or keeps using one that is
+down or unreachable. Failed attempts cost requests.
 
 References
 ----------
-"Consensus based failover with Pgpool-II" proposes to ask first.
+"Consensus based failover with Pgpool-II" proposes to ask the peers first.
 """
 
 import random
@@ -24,7 +24,7 @@
 
 
 class Simulation:
-    """Faults over time, and one policy for each instance and target."""
+    """A simulation of faults, with one ejection policy for each instance and target."""
 
     def __init__(self, voting, seed):
         self.random = random.Random(seed)
@@ -53,14 +53,14 @@
         return MajorityEjection(local, count_votes)
 
     def is_reachable(self, instance, target):
-        """Whether the instance can reach the target now."""
+        """Return whether the instance can reach the target now."""
         return (
             self.target_down_until.get(target, 0.0) <= self.now
             and self.link_down_until.get((instance, target), 0.0) <= self.now
         )
 
     def step(self):
-        """Let faults begin and requests be sent for one step of time."""
+        """Advance by one time step: start faults and send requests."""
         self.now += STEP
         if self.random.random() < STEP / 10.0:
             target, until = self.random.randrange(TARGETS), self.now + 15.0
@@ -103,7 +103,7 @@
 
 def main():
     """Compare both policies on the same seeds."""
-    print_heading("ejection: alone against after a vote, 8 instances, 10 targets, 300 s, 5 seeds")
+    print_heading("ejection: local or by vote, 8 instances, 10 targets, 300 s, 5 seeds")
     for voting in (False, True):
         simulations = [Simulation(voting, seed) for seed in range(5)]
         for simulation in simulations:
--- a/benchmarks/bench_fleet.py
+++ b/benchmarks/bench_fleet.py
@@ -1,4 +1,4 @@
-"""Eight routers: time until a leaving target gets no more work, and until a change is in force."""
+"""Eight routers: delay of leaving targets and configuration changes, and cost of idle fleets."""
 
 import statistics
 import threading
@@ -20,7 +20,7 @@
 
 
 class Load:
-    """Sends short streams to all routers in turn."""
+    """Threads that request short streams from all routers in turn."""
 
     def __init__(self, fleet, threads=8):
         self.fleet = fleet
@@ -38,14 +38,14 @@
             self.incomplete += not answer.data.endswith(b"data: [DONE]\n\n")
 
     def stop_sending(self):
-        """Stop sending."""
+        """Stop sending and wait for the last answers."""
         self.stopping.set()
         for thread in self.threads:
             thread.join()
 
 
 def seconds_until_last_start(fleet, name, watched, began=None):
-    """Return seconds from `began`, or now, until the last start that a target sees."""
+    """Return the seconds from `began`, or now, until the last request that a target starts."""
     began = last = began or time.monotonic()
     count = len(fleet.targets[name].starts())
     while time.monotonic() - began < watched:
@@ -57,7 +57,7 @@
 
 
 def measure_leaving(fleet):
-    """Drain a target by its object, by the list alone, and by the list without platform."""
+    """Measure how soon a target drains by its object, and by the instance list alone."""
     print_heading("leaving: seconds until the last new start, 8 routers under load")
     load = Load(fleet)
     time.sleep(1.0)
@@ -79,8 +79,8 @@
 
 
 def measure_leaving_without_platform(fleet):
-    """One router learns of a leaving target just before the platform goes away."""
-    print_heading("leaving with the platform down: the word goes from peer to peer")
+    """Measure draining when one router learns of it just before the platform fails."""
+    print_heading("leaving with the platform down: routers learn of it from their peers")
     load = Load(fleet)
     time.sleep(0.5)
     fleet.list_target("i-e3", "leaving")
@@ -94,7 +94,7 @@
 
 
 def measure_configuration(fleet):
-    """Change an object again and again and poll all routers until it is in force."""
+    """Change an object repeatedly and poll all routers until each change is in force."""
     print_heading("configuration: seconds until in force at 8 routers")
     seconds = []
     for number in range(CHANGES):
@@ -110,7 +110,7 @@
 
 
 def measure_platform_calls(fleet):
-    """Count the platform's calls of an idle fleet."""
+    """Measure the platform calls of an idle fleet."""
     print_heading("platform calls of 8 idle routers")
     before = fleet.platform.json("GET", "/counts")
     time.sleep(10.0)
@@ -122,8 +122,8 @@
 
 
 def measure_idle(sizes=(1, 2, 4, 8)):
-    """Measure what control costs a daemon, by the number of daemons."""
-    print_heading("control: an idle daemon's CPU and memory by the size of the fleet")
+    """Measure CPU and memory of an idle daemon, by the number of daemons."""
+    print_heading("idle daemon: CPU and memory by the size of the fleet")
     points = []
     for size in sizes:
         with start_fleet(routers=size, engines=("e1",), settings=SETTINGS) as fleet:
--- a/benchmarks/bench_load.py
+++ b/benchmarks/bench_load.py
@@ -1,7 +1,7 @@
-"""Twice the capacity of the targets offered to three routers, with all classes.
+"""Overload: three routers receive twice the requests that their targets can serve.
 
-Two engines serve 4 requests each at 0.2 s a request: 40 a second. Offered are 20
-interactive and 60 deferrable requests a second; deferrable ones have 20 s.
+Two engines serve 4 requests each at 0.2 s per request, 40 per second in total. The load is
+20 interactive and 60 deferrable requests per second; deferrable ones have a deadline of 20 s.
 """
 
 import threading
@@ -20,7 +20,7 @@
 
 
 class OpenLoop:
-    """Sends requests at a fixed rate, whether or not earlier ones have ended."""
+    """An open-loop load: requests at a fixed rate, whether or not earlier ones have ended."""
 
     def __init__(self, fleet, kind, rate, seconds, **headers):
         self.fleet = fleet
@@ -33,7 +33,7 @@
         self._threads = []
 
     def run(self):
-        """Offer for the whole time and wait for every answer."""
+        """Send requests for the whole time and wait for every answer."""
         began = time.monotonic()
         for number in range(int(self.rate * self.seconds)):
             pause = began + number / self.rate - time.monotonic()
@@ -67,7 +67,7 @@
 
 
 def report_load(load, phase):
-    """Report one offer."""
+    """Report the results of one load."""
     labels = {"phase": phase, "class": load.kind}
     if load.answer_seconds:
         report("answer_seconds", percentile(load.answer_seconds, 0.5), "s", at="median", **labels)
@@ -81,13 +81,13 @@
 
 
 def main():
-    """Offer interactive work alone, then all of it, then interactive work again."""
+    """Measure interactive requests before, during and after an overload."""
     with start_fleet(routers=3, engines=("e1", "e2"), budget=10**9) as fleet:
         for name in ("e1", "e2"):
             fleet.targets[name].fault(token_delay=TOKEN_DELAY)
             declare_target(fleet, name, "chat", fleet.targets[name], max_concurrency=4)
         fleet.wait_config()
-        print_heading("load: interactive work alone")
+        print_heading("load: interactive requests only")
         alone = OpenLoop(fleet, "interactive", INTERACTIVE_RATE, 8.0)
         alone.run()
         report_load(alone, "alone")
--- a/benchmarks/bench_router.py
+++ b/benchmarks/bench_router.py
@@ -1,6 +1,6 @@
-"""One router against a direct connection to the same stand-in engine.
+"""Overhead of one router, compared with a direct connection to the same stand-in engine.
 
-CPU is the router process's own, by the operating system's account.
+CPU time is that of the router process, as reported by the operating system.
 """
 
 import http.client
@@ -24,7 +24,7 @@
 
 
 class Client:
-    """One kept connection to a router or an engine."""
+    """A persistent connection to a router or an engine."""
 
     def __init__(self, process, bearer=""):
         host, port = process.address.split(":")
@@ -32,7 +32,7 @@
         self.headers = {"Content-Type": "application/json", "Authorization": f"Bearer {bearer}"}
 
     def chat(self, max_tokens, stream=False):
-        """Send one request; returns seconds to the first byte of the body, and the body."""
+        """Send one request and return the seconds to the first byte of the body, and the body."""
         body = {
             "model": "m",
             "messages": [{"role": "user", "content": "log tag summary of a soak run"}],
@@ -56,7 +56,7 @@
 
 
 def run_in_threads(count, function):
-    """Run a function in threads and wait for all."""
+    """Run a function in several threads and wait for all of them."""
     threads = [threading.Thread(target=function, args=(index,)) for index in range(count)]
     for thread in threads:
         thread.start()
@@ -65,7 +65,7 @@
 
 
 def measure_first_token(fleet, router, engine):
-    """Compare time to the first byte, in turn through the router and directly."""
+    """Compare the time to the first byte through the router and directly, alternating them."""
     print_heading("router: time to the first byte of a stream")
     routed = Client(router, fleet.caller.bearer)
     direct = Client(engine)
@@ -84,8 +84,8 @@
 
 
 def measure_requests(fleet, router):
-    """Measure CPU a request and requests a second with whole answers."""
-    print_heading("router: whole answers of one token")
+    """Measure CPU time per request and requests per second with non-streamed answers."""
+    print_heading("router: non-streamed answers of one token")
     for clients in (1, 16):
         requests_per_client = REQUESTS // clients
 
@@ -104,8 +104,8 @@
 
 
 def measure_tokens(fleet, router, engine):
-    """Measure CPU a relayed token with many streams open."""
-    print_heading(f"router: {STREAMS} streams of {TOKENS} tokens at {1 / TOKEN_DELAY:g} a second")
+    """Measure CPU time per relayed token with many open streams."""
+    print_heading(f"router: {STREAMS} streams of {TOKENS} tokens at {1 / TOKEN_DELAY:g} per second")
     engine.fault(token_delay=TOKEN_DELAY)
 
     def run(_index):
@@ -126,7 +126,7 @@
 
 
 def idle_cpu_share(router):
-    """Return the share of a core that an idle router uses."""
+    """Return the fraction of a core that an idle router uses."""
     cpu = cpu_seconds(router)
     time.sleep(4.0)
     return (cpu_seconds(router) - cpu) / 4.0
@@ -143,7 +143,7 @@
             {"pool": "chat", "address": engine.address, "max_concurrency": 200},
         )
         fleet.wait_config()
-        print_heading("router: at rest")
+        print_heading("router: idle")
         memory = psutil.Process(router.popen.pid).memory_info().rss
         report("memory_at_rest", memory / 1e6, "MB")
         report("cpu_at_rest", 100 * idle_cpu_share(router), "% of a core")
--- a/benchmarks/bench_warm_up.py
+++ b/benchmarks/bench_warm_up.py
@@ -1,12 +1,14 @@
-"""Ways to share what a cold target bears, on the same arrivals and views, in simulated time.
+"""Strategies to share the rate limit of a cold target between instances, in simulated time.
 
-Six instances have callers, of a fleet of 87, and each has more for one cold target than that bears
-(9.9 requests a second; 19.85 may reach it in one second). Compared are an equal share for each
-instance with callers, an equal share for each of the fleet, one holder, four holders, leases of a
-rate that one instance grants to those that ask, and the few holders of `SharedRatePermits`.
+Six instances of a fleet of 87 have callers, and each has more requests for one cold target than
+the target can serve (9.9 requests per second; at most 19.85 may reach it within one second).
+The strategies are an equal share for each instance with callers, an equal share for each instance
+of the fleet, one holder, four holders, leases of a rate that one instance grants to those that
+ask, and the few holders of `SharedRatePermits`. All see the same arrivals and member lists.
 
-The views: all agree; a cut has parted the instances with callers in two and each half counts itself
-only; and each view lacks some that have just begun to serve and has some that are gone.
+The member lists are identical; or a partition splits the instances with callers in two halves, and
+each half lists only itself; or each list lacks some instances that have just begun to serve and
+includes some that have left.
 """
 
 import random
@@ -35,7 +37,7 @@
         self.rate, self.permits, self.time = rate, 1.0, 0.0
 
     def try_take(self, now):
-        """Take a permit if there is a whole one."""
+        """Take a permit if a whole one is available, and return whether it was."""
         self.permits = min(1.0, self.permits + self.rate * (now - self.time))
         self.time = now
         if self.permits < 1.0:
@@ -45,25 +47,25 @@
 
 
 class EqualShares:
-    """Each of the counted instances has the same part of the rate."""
+    """An equal share of the rate for each instance in the view."""
 
     def __init__(self, name, view, target):
         self.bucket = Bucket(RATE / len(view))
 
     def try_send(self, now):
-        """Whether one more request is sent."""
+        """Send one more request if permitted, and return whether it was sent."""
         return self.bucket.try_take(now)
 
 
 class EqualSharesOfAll(EqualShares):
-    """Each instance of the fleet has the same part, whether it has callers or not."""
+    """An equal share for each instance of the fleet, whether it has callers or not."""
 
     def __init__(self, name, view, target):
         super().__init__(name, FLEET, target)
 
 
 class OneHolder:
-    """The first few by rendezvous share the rate."""
+    """Equal shares for the first `count` instances by rendezvous hashing."""
 
     count = 1
 
@@ -72,20 +74,20 @@
         self.bucket = Bucket(RATE / self.count) if is_holder else None
 
     def try_send(self, now):
-        """Whether one more request is sent."""
+        """Send one more request if permitted, and return whether it was sent."""
         return self.bucket is not None and self.bucket.try_take(now)
 
 
 class FourHolders(OneHolder):
-    """Four of them."""
+    """Equal shares for the first four instances."""
 
     count = 4
 
 
 class Leases:
-    """The first by rendezvous leases an equal part to each in its view, second by second.
+    """Equal shares leased each second by the first instance by rendezvous hashing.
 
-    The lease is told with a heartbeat: what was granted is used in the second after.
+    Leases are announced in heartbeats, so a share is used in the second after its grant.
     """
 
     def __init__(self, name, view, target):
@@ -94,7 +96,7 @@
         self.second, self.remaining = -1, 0.0
 
     def try_send(self, now):
-        """Whether one more request is sent."""
+        """Send one more request if permitted, and return whether it was sent."""
         if int(now / LEASE_SECONDS) > self.second:
             self.second = int(now / LEASE_SECONDS)
             self.remaining = (self.remaining % 1.0) + self.granted * LEASE_SECONDS
@@ -105,14 +107,14 @@
 
 
 class FewHolders:
-    """What the product does."""
+    """The strategy of Whinrack, `SharedRatePermits`."""
 
     def __init__(self, name, view, target):
         self.permits = SharedRatePermits(name, lambda: view)
         self.target = target
 
     def try_send(self, now):
-        """Whether one more request is sent."""
+        """Send one more request if permitted, and return whether it was sent."""
         if not self.permits.has_permit(self.target, RATE_BOUND, now):
             return False
         self.permits.take_permit(self.target, RATE_BOUND, now)
@@ -130,17 +132,17 @@
 
 
 def identical_views(rng):
-    """All count the same instances."""
+    """Return the same member list for every instance."""
     return dict.fromkeys(SERVING, SERVING)
 
 
 def partitioned_views(rng):
-    """Each half of a cut counts itself only."""
+    """Return member lists in which each half of a partition lists only itself."""
     return {name: SERVING[:3] if name in SERVING[:3] else SERVING[3:] for name in SERVING}
 
 
 def stale_views(rng):
-    """Each lacks two of the others, and counts two that are gone."""
+    """Return member lists that each lack about two instances and include two that have left."""
     return {
         name: sorted({name, *rng.sample(SERVING, 4), *rng.sample(FLEET[6:], 2)}) for name in SERVING
     }
@@ -150,7 +152,7 @@
 
 
 def simulate(strategy_class, views, target, seed):
-    """Return the moments at which requests are sent to one target."""
+    """Return the times at which requests are sent to one target."""
     rng = random.Random(seed)
     environment = simpy.Environment()
     sends = []
@@ -168,14 +170,14 @@
 
 
 def max_sends_per_second(sends):
-    """Return the most sends within one second."""
+    """Return the largest number of requests sent within one second."""
     return max(sum(0.0 <= time - first < 1.0 for time in sends) for first in sends) if sends else 0
 
 
 def main():
-    """Compare the ways."""
+    """Compare the strategies."""
     bound = RATE_BOUND.max_requests
-    print_heading(f"cold targets: {RATE} a second are borne, {bound} may reach one in a second")
+    print_heading(f"cold targets: capacity {RATE} per second, at most {bound} within one second")
     for strategy_name, strategy_class in STRATEGIES.items():
         for name, views in VIEWS.items():
             runs = [
--- a/benchmarks/report.py
+++ b/benchmarks/report.py
@@ -1,4 +1,4 @@
-"""One form for all figures: a line for people and a line for machines."""
+"""Print benchmark results in readable form and as JSON lines."""
 
 import json
 import sys
@@ -12,7 +12,7 @@
 
 
 def report(name: str, value: float, unit: str, **labels: object) -> None:
-    """Print one figure, and the same as a JSON line on standard error."""
+    """Print one result, and write it to standard error as a JSON line."""
     shown = " ".join(f"{key}={label}" for key, label in labels.items())
     print(f"{name:34} {value:>12.4g} {unit:12} {shown}", flush=True)
     line = {"name": name, "value": value, "unit": unit, **labels}
