--- a/examples/demo.py
+++ b/examples/demo.py
@@ -27,7 +27,7 @@
 """
 
 
-def say(title):
+def print_heading(title):
     print(f"\n== {title}")
 
 
@@ -65,9 +65,9 @@
 
 
 def main():
-    began = time.monotonic()
+    started_at = time.monotonic()
     with LocalFleet() as fleet:
-        say("platform, two engines, one plain service, three routers")
+        print_heading("platform, two engines, one plain service, three routers")
         fleet.start_platform()
         fleet.start_engine("engine-1", "--token-delay", "0.01")
         fleet.start_engine("engine-2", "--token-delay", "0.01")
@@ -76,16 +76,16 @@
         folder, keys = declare(fleet)
         fleet.wait_config()
 
-        say("which address?")
+        print_heading("which address?")
         print(json.dumps(routers[0].json("GET", "/v1/entry")))
 
-        say("a streamed completion")
+        print_heading("a streamed completion")
         answer = chat(routers[0], keys["bench"], "why is this test flaky", stream=True)
         print(answer.status, dict(answer.headers))
         print(answer.data.decode()[:400], "...")
         assert answer.data.endswith(b"data: [DONE]\n\n")
 
-        say("a plain service call, marked not repeatable, sent twice with one key")
+        print_heading("a plain service call, marked not repeatable, sent twice with one key")
         headers = {
             "Authorization": f"Bearer {keys['bench']}",
             "Idempotency-Key": "notice-1",
@@ -96,14 +96,14 @@
             print(reply.status, reply.headers.get("Whinrack-Joined", "first"), reply.data.decode())
         assert len(fleet.targets["board-1"].starts()) == 1
 
-        say("a change of policy, in force on all three routers")
+        print_heading("a change of policy, in force on all three routers")
         program = (folder / "daytime.cel").read_text().replace(": 2,", ": 1,")
         (folder / "daytime.cel").write_text(program)
         print(fleet.whinrack("apply", folder, "--output", "text").stdout)
         fleet.wait_config()
         print(fleet.whinrack("status").stdout)
 
-        say("a small budget runs out")
+        print_heading("a small budget runs out")
         statuses = []
         for number in range(60):
             reply = chat(routers[number % 3], keys["tiny"], f"tag {number}")
@@ -114,24 +114,24 @@
         print(json.dumps(json.loads(reply.data)))
         assert reply.status == 402
 
-        say("budget, bill and counters")
-        wait_until(lambda: not pending(fleet), what="reports to reach the books")
+        print_heading("budget, bill and counters")
+        wait_until(lambda: not has_unreported_tokens(fleet), what="reports to reach the books")
         print(fleet.whinrack("budget", "show", "tiny").stdout)
         print(fleet.whinrack("bill").stdout)
         for name, value in sorted(fleet.counters(routers[0]).items()):
             if "bucket" not in name and "_sum" not in name:
                 print(f"{name} {value:g}")
 
-        say("planned stop")
+        print_heading("planned stop")
         for router in routers:
             code = router.stop()
             print(router.name, "exit code", code)
             assert code == 0
         print(fleet.whinrack("budget", "show", "clachan").stdout)
-    print(f"done in {time.monotonic() - began:.1f} s")
+    print(f"done in {time.monotonic() - started_at:.1f} s")
 
 
-def pending(fleet):
+def has_unreported_tokens(fleet):
     """Whether any router has settled amounts that the books don't know yet."""
     try:
         return any(
