--- a/examples/books.py
+++ b/examples/books.py
@@ -1,4 +1,4 @@
-"""The books of one budget, without a fleet: draw, settle, report, release."""
+"""Draw, settle, report and release tokens of one budget, without a fleet."""
 
 import pathlib
 import sys
@@ -30,7 +30,7 @@
     print("billed", entry.billed, "outstanding", entry.outstanding, "free", entry.free)
 
     release_holder(account, "clachan", "router-1.x", served=0)
-    print("free after an operator's word:", entry.free)
+    print("free after the release:", entry.free)
 
 
 if __name__ == "__main__":
