--- a/benchmarks/bench_router.py
+++ b/benchmarks/bench_router.py
@@ -1,6 +1,6 @@
-"""One router against a direct connection to the same stand-in engine.
+"""Overhead of one router, compared with a direct connection to the same stand-in engine.
 
-CPU is the router process's own, by the operating system's account.
+CPU time is that of the router process, as reported by the operating system.
 """
 
 import http.client
@@ -10,8 +10,8 @@
 
 import psutil
 
-from benchmarks.report import percentile, report, section
-from tests.support import new_fleet
+from benchmarks.report import percentile, print_heading, report
+from tests.support import start_fleet
 
 REQUESTS = 600
 STREAMS = 50
@@ -24,7 +24,7 @@
 
 
 class Client:
-    """One kept connection to a router or an engine."""
+    """A persistent connection to a router or an engine."""
 
     def __init__(self, process, bearer=""):
         host, port = process.address.split(":")
@@ -32,7 +32,7 @@
         self.headers = {"Content-Type": "application/json", "Authorization": f"Bearer {bearer}"}
 
     def chat(self, max_tokens, stream=False):
-        """Send one request; returns seconds to the first byte of the body, and the body."""
+        """Send one request and return the seconds to the first byte of the body, and the body."""
         body = {
             "model": "m",
             "messages": [{"role": "user", "content": "log tag summary of a soak run"}],
@@ -55,8 +55,8 @@
     return times.user + times.system
 
 
-def in_threads(count, function):
-    """Run a function in threads and wait for all."""
+def run_in_threads(count, function):
+    """Run a function in several threads and wait for all of them."""
     threads = [threading.Thread(target=function, args=(index,)) for index in range(count)]
     for thread in threads:
         thread.start()
@@ -65,56 +65,56 @@
 
 
 def measure_first_token(fleet, router, engine):
-    """Compare time to the first byte, in turn through the router and directly."""
-    section("router: time to the first byte of a stream")
-    through = Client(router, fleet.caller.bearer)
+    """Compare the time to the first byte through the router and directly, alternating them."""
+    print_heading("router: time to the first byte of a stream")
+    routed = Client(router, fleet.caller.bearer)
     direct = Client(engine)
     seconds = {"through": [], "direct": []}
     for number in range(REQUESTS // 2):
-        for name, client in (("through", through), ("direct", direct)):
-            taken, body = client.chat(2, stream=True)
+        for name, client in (("through", routed), ("direct", direct)):
+            elapsed, body = client.chat(2, stream=True)
             assert body.endswith(b"data: [DONE]\n\n")
             if number >= 20:
-                seconds[name].append(taken)
+                seconds[name].append(elapsed)
     for share, name in ((0.5, "median"), (0.99, "99th")):
-        values = {key: 1000 * percentile(found, share) for key, found in seconds.items()}
+        values = {key: 1000 * percentile(samples, share) for key, samples in seconds.items()}
         report("first_byte_direct", values["direct"], "ms", at=name)
         report("first_byte_through", values["through"], "ms", at=name)
         report("first_byte_added", values["through"] - values["direct"], "ms", at=name)
 
 
 def measure_requests(fleet, router):
-    """Measure CPU a request and requests a second with whole answers."""
-    section("router: whole answers of one token")
+    """Measure CPU time per request and requests per second with non-streamed answers."""
+    print_heading("router: non-streamed answers of one token")
     for clients in (1, 16):
-        each = REQUESTS // clients
+        requests_per_client = REQUESTS // clients
 
-        def run(_index, each=each):
+        def run(_index, requests_per_client=requests_per_client):
             client = Client(router, fleet.caller.bearer)
-            for _ in range(each):
+            for _ in range(requests_per_client):
                 client.chat(1)
 
-        in_threads(clients, run)
+        run_in_threads(clients, run)
         cpu, began = cpu_seconds(router), time.perf_counter()
-        in_threads(clients, run)
+        run_in_threads(clients, run)
         seconds = time.perf_counter() - began
-        done = each * clients
-        report("cpu_per_request", 1000 * (cpu_seconds(router) - cpu) / done, "ms", clients=clients)
-        report("requests_per_second", done / seconds, "per s", clients=clients)
+        total = requests_per_client * clients
+        report("cpu_per_request", 1000 * (cpu_seconds(router) - cpu) / total, "ms", clients=clients)
+        report("requests_per_second", total / seconds, "per s", clients=clients)
 
 
 def measure_tokens(fleet, router, engine):
-    """Measure CPU a relayed token with many streams open."""
-    section(f"router: {STREAMS} streams of {TOKENS} tokens at {1 / TOKEN_DELAY:g} a second")
+    """Measure CPU time per relayed token with many open streams."""
+    print_heading(f"router: {STREAMS} streams of {TOKENS} tokens at {1 / TOKEN_DELAY:g} per second")
     engine.fault(token_delay=TOKEN_DELAY)
 
     def run(_index):
         _, body = Client(router, fleet.caller.bearer).chat(TOKENS, stream=True)
         assert body.count(b'"content"') == TOKENS
 
-    idle = idle_cpu(router)
+    idle = idle_cpu_share(router)
     cpu, began = cpu_seconds(router), time.perf_counter()
-    in_threads(STREAMS, run)
+    run_in_threads(STREAMS, run)
     seconds = time.perf_counter() - began
     used = cpu_seconds(router) - cpu
     tokens = STREAMS * TOKENS
@@ -125,8 +125,8 @@
     engine.fault(token_delay=0.0)
 
 
-def idle_cpu(router):
-    """Return the share of a core that an idle router uses."""
+def idle_cpu_share(router):
+    """Return the fraction of a core that an idle router uses."""
     cpu = cpu_seconds(router)
     time.sleep(4.0)
     return (cpu_seconds(router) - cpu) / 4.0
@@ -134,7 +134,7 @@
 
 def main():
     """Measure one router."""
-    with new_fleet(routers=1, budget=10**9, settings=SETTINGS) as fleet:
+    with start_fleet(routers=1, budget=10**9, settings=SETTINGS) as fleet:
         router, engine = fleet.routers[0], fleet.targets["e1"]
         fleet.put("TargetPool", "chat", {"models": ["m"], "max_output_tokens": 2000})
         fleet.put(
@@ -143,10 +143,10 @@
             {"pool": "chat", "address": engine.address, "max_concurrency": 200},
         )
         fleet.wait_config()
-        section("router: at rest")
+        print_heading("router: idle")
         memory = psutil.Process(router.popen.pid).memory_info().rss
         report("memory_at_rest", memory / 1e6, "MB")
-        report("cpu_at_rest", 100 * idle_cpu(router), "% of a core")
+        report("cpu_at_rest", 100 * idle_cpu_share(router), "% of a core")
         measure_first_token(fleet, router, engine)
         measure_requests(fleet, router)
         measure_tokens(fleet, router, engine)
--- a/benchmarks/report.py
+++ b/benchmarks/report.py
@@ -1,18 +1,18 @@
-"""One form for all figures: a line for people and a line for machines."""
+"""Print benchmark results in readable form and as JSON lines."""
 
 import json
 import sys
 
-__all__ = ["fit", "percentile", "report", "section"]
+__all__ = ["fit_line", "percentile", "print_heading", "report"]
 
 
-def section(title: str) -> None:
+def print_heading(title: str) -> None:
     """Print a heading."""
     print(f"\n== {title}", flush=True)
 
 
 def report(name: str, value: float, unit: str, **labels: object) -> None:
-    """Print one figure, and the same as a JSON line on standard error."""
+    """Print one result, and write it to standard error as a JSON line."""
     shown = " ".join(f"{key}={label}" for key, label in labels.items())
     print(f"{name:34} {value:>12.4g} {unit:12} {shown}", flush=True)
     line = {"name": name, "value": value, "unit": unit, **labels}
@@ -25,7 +25,7 @@
     return ordered[min(len(ordered) - 1, int(share * len(ordered)))]
 
 
-def fit(points):
+def fit_line(points):
     """Return slope and intercept of the least-squares line through (x, y) points."""
     count = len(points)
     mean_x = sum(x for x, _ in points) / count
--- a/tests/support.py
+++ b/tests/support.py
@@ -1,4 +1,4 @@
-"""Requests, declarations and parallel callers for the tests with real processes."""
+"""Fleets, declarations and callers for the tests that start processes."""
 
 import json
 import threading
@@ -11,15 +11,15 @@
 __all__ = [
     "FLEET_KEY",
     "Caller",
-    "budget_entry",
-    "declare",
-    "in_parallel",
-    "new_fleet",
+    "declare_objects",
+    "read_budget",
+    "run_in_parallel",
+    "start_fleet",
     "stream_text",
     "wait_until",
 ]
 
-FAST = {
+FAST_SETTINGS = {
     "membership": {"heartbeat_interval": "0.2", "suspect_after": "1.0", "list_interval": "0.3"},
     "budgets": {"check_interval": "0.3", "report_after": "0", "horizon": "5", "gather_wait": "0.3"},
     "journal": {"commit_interval": "0.02"},
@@ -28,13 +28,13 @@
 
 
 class Caller:
-    """Sends requests with one key."""
+    """A client that sends requests with one API key."""
 
     def __init__(self, bearer):
         self.bearer = bearer
 
-    def headers(self, **more):
-        """Return headers; `key`, `ticket`, `repeatable` and others by short names."""
+    def headers(self, **values):
+        """Return request headers, given by the short names below."""
         names = {
             "key": "Idempotency-Key",
             "ticket": "Whinrack-Ticket",
@@ -42,11 +42,11 @@
             "deadline": "Whinrack-Deadline",
             "kind": "Whinrack-Class",
         }
-        fields = {names[name]: value for name, value in more.items()}
+        fields = {names[name]: value for name, value in values.items()}
         return {"Authorization": f"Bearer {self.bearer}", **fields}
 
     def chat(self, router, text="one two three", max_tokens=10, fields=None, **headers):
-        """Send a chat completion and return the answer, read whole."""
+        """Send a chat completion request and return the answer with its complete body."""
         body = {
             "model": "m",
             "messages": [{"role": "user", "content": text}],
@@ -56,27 +56,29 @@
         return router.call("POST", "/v1/chat/completions", body, self.headers(**headers))
 
     def stream(self, router, **options):
-        """Send a streamed chat completion."""
+        """Send a chat completion request for a streamed answer."""
         return self.chat(router, fields={"stream": True}, **options)
 
     def post(self, router, path="/services/board/notices", value=None, **headers):
-        """Call the plain service."""
+        """Send a request to the service pool `board`."""
         return router.call("POST", path, value or {"text": "hi"}, self.headers(**headers))
 
 
-def new_fleet(routers=3, engines=("e1",), services=("s1",), budget=100_000, settings=None, **kw):
+def start_fleet(
+    routers=3, engines=("e1",), services=("s1",), budget=100_000, settings=None, **fleet_options
+):
     """Start a fleet with one workspace `w`, budget `b`, pools `chat` and `board`."""
-    merged = {name: dict(values) for name, values in FAST.items()}
+    merged = {name: dict(values) for name, values in FAST_SETTINGS.items()}
     for section, values in (settings or {}).items():
         merged.setdefault(section, {}).update(values)
-    fleet = LocalFleet(settings=merged, **kw)
+    fleet = LocalFleet(settings=merged, **fleet_options)
     try:
         fleet.start_platform()
         for name in engines:
             fleet.start_engine(name)
         for name in services:
             fleet.start_service(name)
-        fleet.caller = declare(fleet, budget)
+        fleet.caller = declare_objects(fleet, budget)
         fleet.start_routers(routers)
         fleet.wait_config()
     except BaseException:
@@ -85,8 +87,8 @@
     return fleet
 
 
-def declare(fleet, budget):
-    """Write the objects of a small fleet; returns a caller."""
+def declare_objects(fleet, budget):
+    """Create the objects of a small fleet and return a caller with its API key."""
     bearer, key = make_key("k", "w", "b")
     fleet.put("Workspace", "w", {})
     fleet.put("TargetPool", "chat", {"models": ["m"], "max_output_tokens": 2000})
@@ -102,23 +104,23 @@
 
 
 def declare_target(fleet, name, pool, process, **fields):
-    """Write a target."""
+    """Create or replace the object of a target."""
     spec = {"pool": pool, "address": process.address, "instance": f"i-{name}", **fields}
     fleet.put("Target", name, spec)
 
 
-def budget_entry(fleet, name="b"):
-    """Return a budget's books as the command line shows them."""
+def read_budget(fleet, name="b"):
+    """Return the output of `whinrack budget show` for a budget."""
     return json.loads(fleet.whinrack("budget", "show", name, "--output", "json").stdout)
 
 
-def bill(fleet):
-    """Return the bill of workspace `w`, None if there is none."""
+def read_bill(fleet):
+    """Return the bill of workspace `w`, or None if nothing was billed."""
     return json.loads(fleet.whinrack("bill", "--output", "json").stdout).get("w")
 
 
 def stream_text(answer):
-    """Return a stream's text, failing if it isn't whole."""
+    """Return the text of a stream, and fail if the stream is incomplete."""
     data = answer.data if hasattr(answer, "data") else answer
     assert data.endswith(b"data: [DONE]\n\n"), data[-300:]
     words = []
@@ -135,8 +137,8 @@
     return "".join(f"{words[index % len(words)]}-{index} " for index in range(count))
 
 
-def in_parallel(*functions):
-    """Run functions in threads; returns results or exceptions in order."""
+def run_in_parallel(*functions):
+    """Run functions in threads and return their results or exceptions in order."""
     results = [None] * len(functions)
 
     def run(index, function):
@@ -153,19 +155,19 @@
     return results
 
 
-def fleet_fixture(**options):
-    """Make a module fixture that gives a fleet."""
+def make_fleet_fixture(**options):
+    """Return a module-scoped fixture that starts a fleet."""
 
     @pytest.fixture(scope="module")
     def fleet():
-        with new_fleet(**options) as started:
+        with start_fleet(**options) as started:
             yield started
 
     return fleet
 
 
 @pytest.fixture
-def clean_faults(fleet):
+def reset_faults(fleet):
     """Reset the faults of all stand-ins after a test."""
     yield
     fleet.platform.fault(down=False, delay=0.0, lose_replies=0, watch_lag=0.0, list_lag=0.0)
--- a/tests/test_connections.py
+++ b/tests/test_connections.py
@@ -1,4 +1,4 @@
-"""Idle connections, slow headers and slow readers do not stop others."""
+"""Idle connections, slow headers and slow readers do not block other requests."""
 
 import json
 import resource
@@ -7,20 +7,20 @@
 
 import pytest
 
-from tests.support import expected_text, new_fleet, stream_text
+from tests.support import expected_text, start_fleet, stream_text
 
-IDLE = 10_000
+IDLE_CONNECTIONS = 10_000
 HEADER_SECONDS = 4.0
-HOPELESS_SECONDS = 30.0
+MAX_ANSWER_SECONDS = 30.0
 
 
 @pytest.fixture(scope="module")
 def fleet():
-    # Routers inherit it: each idle connection takes one descriptor at either end.
+    # Routers inherit the limit; an idle connection takes one descriptor at each end.
     _, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     resource.setrlimit(resource.RLIMIT_NOFILE, (hard, hard))
     settings = {"http": {"header_timeout": str(HEADER_SECONDS)}}
-    with new_fleet(routers=1, settings=settings) as started:
+    with start_fleet(routers=1, settings=settings) as started:
         yield started
 
 
@@ -30,18 +30,19 @@
 
 
 def assert_served(fleet):
-    """Serve a request; the order of events is judged, the limit only ends a hopeless wait.
+    """Assert that a streamed request is answered.
 
-    docs/MEASUREMENTS.md has the time that it takes on an idle machine.
+    The limit only stops a wait that cannot succeed: the tests check the order of events, not
+    the time. docs/MEASUREMENTS.md has the time that it takes on an idle machine.
     """
     began = time.monotonic()
     answer = fleet.caller.stream(fleet.routers[0])
     assert stream_text(answer) == expected_text("one two three", 10)
-    assert time.monotonic() - began < HOPELESS_SECONDS
+    assert time.monotonic() - began < MAX_ANSWER_SECONDS
 
 
-def nothing_arrived(sock):
-    """Whether the other side has neither sent anything nor closed."""
+def has_received_nothing(sock):
+    """Return whether the peer has neither sent data nor closed the connection."""
     sock.setblocking(False)
     try:
         sock.recv(1, socket.MSG_PEEK)
@@ -52,8 +53,8 @@
     return False
 
 
-def test_idle_connections_do_not_stop_others(fleet):
-    idle = [connect(fleet.routers[0]) for _ in range(IDLE)]
+def test_idle_connections_do_not_block_requests(fleet):
+    idle = [connect(fleet.routers[0]) for _ in range(IDLE_CONNECTIONS)]
     try:
         assert_served(fleet)
     finally:
@@ -61,15 +62,15 @@
             sock.close()
 
 
-def test_slow_headers_are_given_up(fleet):
+def test_slow_headers_time_out(fleet):
     with connect(fleet.routers[0]) as sock:
         sock.sendall(b"GET /healthz HTTP/1.1\r\nHost: x\r\nX-Slow: ")
         assert_served(fleet)
-        assert nothing_arrived(sock), "the request waited for the slow caller's end"
+        assert has_received_nothing(sock), "answered after the slow connection only"
         assert sock.recv(100).startswith(b"HTTP/1.1 408")
 
 
-def test_a_slow_reader_does_not_stop_others(fleet):
+def test_slow_readers_do_not_block_requests(fleet):
     body = json.dumps(
         {
             "model": "m",
