--- a/benchmarks/bench_budgets.py
+++ b/benchmarks/bench_budgets.py
@@ -56,7 +56,7 @@
             self.store, ACCOUNT_KIND, BudgetAccount, sleep=lambda seconds: None, seed=1
         )
         self.editor.apply("a", lambda account: apply_topups(account, "b", {"1": limit}))
-        self.store.calls = 0
+        self.store.call_count = 0
 
     def cover(self, instance, tokens):
         """Return a handle of the covered request, or None if it is refused."""
@@ -191,10 +191,10 @@
         return not isinstance(result, Failure)
 
     def _row(self):
-        calls, down = self.store.calls, self.store.down
+        calls, down = self.store.call_count, self.store.down
         self.store.down = False
         rows = self.editor.read("a").unwrap().budgets["b"].rows
-        self.store.calls, self.store.down = calls, down
+        self.store.call_count, self.store.down = calls, down
         return rows.get("all.1") or _NO_ROW
 
 
@@ -336,7 +336,7 @@
     labels = {"scenario": scenario, "way": strategy_name, "weighting": str(weighting)}
     requests = sum(run.requests for run in runs)
     overspend = sum(max(0, run.used - run.limit) for run in runs)
-    calls = sum(run.ways.store.calls for run in runs)
+    calls = sum(run.ways.store.call_count for run in runs)
     report("overspend", overspend, "tokens", **labels)
     report(
         "false_refusals",
--- a/benchmarks/bench_fleet.py
+++ b/benchmarks/bench_fleet.py
@@ -47,10 +47,10 @@
 def seconds_until_last_start(fleet, name, watched, began=None):
     """Return the seconds from `began`, or now, until the last request that a target starts."""
     began = last = began or time.monotonic()
-    count = len(fleet.targets[name].starts())
+    count = len(fleet.targets[name].list_starts())
     while time.monotonic() - began < watched:
         time.sleep(0.02)
-        now = len(fleet.targets[name].starts())
+        now = len(fleet.targets[name].list_starts())
         if now != count:
             count, last = now, time.monotonic()
     return last - began
@@ -61,16 +61,16 @@
     print_heading("leaving: seconds until the last new start, 8 routers under load")
     load = Load(fleet)
     time.sleep(1.0)
-    fleet.platform.fault(list_lag=10.0)
-    fleet.list_target("i-e1", "leaving")
+    fleet.platform.set_faults(list_lag=10.0)
+    fleet.register_target_instance("i-e1", "leaving")
     began = time.monotonic()
     address = fleet.targets["e1"].address
     spec = {"pool": "chat", "address": address, "instance": "i-e1", "state": "leaving"}
-    fleet.put("Target", "e1", spec)
+    fleet.put_object("Target", "e1", spec)
     seconds = seconds_until_last_start(fleet, "e1", 5.0, began)
     report("leaving_seconds", seconds, "s", by="object", list_lag=10)
-    fleet.platform.fault(list_lag=0.0)
-    fleet.list_target("i-e2", "leaving")
+    fleet.platform.set_faults(list_lag=0.0)
+    fleet.register_target_instance("i-e2", "leaving")
     report(
         "leaving_seconds", seconds_until_last_start(fleet, "e2", 5.0), "s", by="list", list_lag=0
     )
@@ -83,14 +83,14 @@
     print_heading("leaving with the platform down: routers learn of it from their peers")
     load = Load(fleet)
     time.sleep(0.5)
-    fleet.list_target("i-e3", "leaving")
+    fleet.register_target_instance("i-e3", "leaving")
     while not any(fleet.status(r)["leaving_targets"].count("e3") for r in fleet.routers):
         time.sleep(0.01)
-    fleet.platform.fault(down=True)
+    fleet.platform.set_faults(down=True)
     seconds = seconds_until_last_start(fleet, "e3", 5.0)
     report("leaving_seconds", seconds, "s", by="peers", platform="down")
     load.stop_sending()
-    fleet.platform.fault(down=False)
+    fleet.platform.set_faults(down=False)
 
 
 def measure_configuration(fleet):
@@ -99,7 +99,7 @@
     seconds = []
     for number in range(CHANGES):
         value = {"weighting": ("false_refusals", "overspend")[number % 2]}
-        version = fleet.put("Workspace", "w", value).json()["version"]
+        version = fleet.put_object("Workspace", "w", value).json()["version"]
         began = time.monotonic()
         waiting = list(fleet.routers)
         while waiting:
@@ -149,7 +149,7 @@
         routers=ROUTERS, engines=engines, budget=10**9, halls=halls, settings=SETTINGS
     ) as fleet:
         for name in engines:
-            fleet.targets[name].fault(token_delay=0.005)
+            fleet.targets[name].set_faults(token_delay=0.005)
         measure_configuration(fleet)
         measure_leaving(fleet)
         measure_leaving_without_platform(fleet)
--- a/benchmarks/bench_load.py
+++ b/benchmarks/bench_load.py
@@ -84,9 +84,9 @@
     """Measure interactive requests before, during and after an overload."""
     with start_fleet(routers=3, engines=("e1", "e2"), budget=10**9) as fleet:
         for name in ("e1", "e2"):
-            fleet.targets[name].fault(token_delay=TOKEN_DELAY)
+            fleet.targets[name].set_faults(token_delay=TOKEN_DELAY)
             declare_target(fleet, name, "chat", fleet.targets[name], max_concurrency=4)
-        fleet.wait_config()
+        fleet.wait_for_config()
         print_heading("load: interactive requests only")
         alone = OpenLoop(fleet, "interactive", INTERACTIVE_RATE, 8.0)
         alone.run()
@@ -110,7 +110,7 @@
         retries = sum(
             value
             for router in fleet.routers
-            for name, value in fleet.counters(router).items()
+            for name, value in fleet.nonzero_metrics(router).items()
             if name.startswith("whinrack_retries_total")
         )
         report("retries", retries, "requests")
--- a/benchmarks/bench_router.py
+++ b/benchmarks/bench_router.py
@@ -106,7 +106,7 @@
 def measure_tokens(fleet, router, engine):
     """Measure CPU time per relayed token with many open streams."""
     print_heading(f"router: {STREAMS} streams of {TOKENS} tokens at {1 / TOKEN_DELAY:g} per second")
-    engine.fault(token_delay=TOKEN_DELAY)
+    engine.set_faults(token_delay=TOKEN_DELAY)
 
     def run(_index):
         _, body = Client(router, fleet.caller.bearer).chat(TOKENS, stream=True)
@@ -122,7 +122,7 @@
     net = used - idle * seconds
     report("cpu_per_token_net_of_idle", 1e6 * net / tokens, "us", streams=STREAMS)
     report("tokens_per_second", tokens / seconds, "per s", streams=STREAMS)
-    engine.fault(token_delay=0.0)
+    engine.set_faults(token_delay=0.0)
 
 
 def idle_cpu_share(router):
@@ -136,13 +136,13 @@
     """Measure one router."""
     with start_fleet(routers=1, budget=10**9, settings=SETTINGS) as fleet:
         router, engine = fleet.routers[0], fleet.targets["e1"]
-        fleet.put("TargetPool", "chat", {"models": ["m"], "max_output_tokens": 2000})
-        fleet.put(
+        fleet.put_object("TargetPool", "chat", {"models": ["m"], "max_output_tokens": 2000})
+        fleet.put_object(
             "Target",
             "e1",
             {"pool": "chat", "address": engine.address, "max_concurrency": 200},
         )
-        fleet.wait_config()
+        fleet.wait_for_config()
         print_heading("router: idle")
         memory = psutil.Process(router.popen.pid).memory_info().rss
         report("memory_at_rest", memory / 1e6, "MB")
--- a/examples/demo.py
+++ b/examples/demo.py
@@ -49,10 +49,10 @@
     ]:
         options = ["--workspace", workspace, "--budget", budget]
         path = folder / f"key-{name}.toml"
-        keys[name] = fleet.whinrack(
+        keys[name] = fleet.run_cli(
             "key", "create", name, *options, "--declaration", path
         ).stdout.strip()
-    print(fleet.whinrack("apply", folder).stdout)
+    print(fleet.run_cli("apply", folder).stdout)
     return folder, keys
 
 
@@ -77,7 +77,7 @@
         fleet.start_service("board-1")
         routers = fleet.start_routers()
         folder, keys = declare(fleet)
-        fleet.wait_config()
+        fleet.wait_for_config()
 
         print_heading("entry points")
         print(json.dumps(routers[0].json("GET", "/v1/entry")))
@@ -99,14 +99,14 @@
         for router in routers[:2]:
             reply = router.call("POST", "/services/noticeboard/notices", {"a": 1}, headers)
             print(reply.status, reply.headers.get("Whinrack-Joined", "first"), reply.data.decode())
-        assert len(fleet.targets["board-1"].starts()) == 1
+        assert len(fleet.targets["board-1"].list_starts()) == 1
 
         print_heading("a policy change, in force at all three routers")
         program = (folder / "daytime.cel").read_text().replace(": 2,", ": 1,")
         (folder / "daytime.cel").write_text(program)
-        print(fleet.whinrack("apply", folder, "--output", "text").stdout)
-        fleet.wait_config()
-        print(fleet.whinrack("status").stdout)
+        print(fleet.run_cli("apply", folder, "--output", "text").stdout)
+        fleet.wait_for_config()
+        print(fleet.run_cli("status").stdout)
 
         print_heading("a small budget is exhausted")
         statuses = []
@@ -120,10 +120,10 @@
         assert reply.status == 402
 
         print_heading("budget, bill and counters")
-        wait_until(lambda: not has_unreported_tokens(fleet), what="reports to be stored")
-        print(fleet.whinrack("budget", "show", "tiny").stdout)
-        print(fleet.whinrack("bill").stdout)
-        for name, value in sorted(fleet.counters(routers[0]).items()):
+        wait_until(lambda: not has_unreported_tokens(fleet), description="reports to be stored")
+        print(fleet.run_cli("budget", "show", "tiny").stdout)
+        print(fleet.run_cli("bill").stdout)
+        for name, value in sorted(fleet.nonzero_metrics(routers[0]).items()):
             if "bucket" not in name and "_sum" not in name:
                 print(f"{name} {value:g}")
 
@@ -132,7 +132,7 @@
             code = router.stop()
             print(router.name, "exit code", code)
             assert code == 0
-        print(fleet.whinrack("budget", "show", "clachan").stdout)
+        print(fleet.run_cli("budget", "show", "clachan").stdout)
     print(f"done in {time.monotonic() - started_at:.1f} s")
 
 
--- a/standins/fleet.py
+++ b/standins/fleet.py
@@ -12,7 +12,7 @@
 
 import urllib3
 
-from standins.ports import free_port
+from standins.ports import reserve_port
 
 __all__ = ["FLEET_KEY", "LocalFleet", "Process", "wait_until"]
 
@@ -22,7 +22,7 @@
 _HTTP = urllib3.PoolManager(retries=False, maxsize=64)
 
 
-def wait_until(condition, timeout=10.0, what="the condition"):
+def wait_until(condition, timeout=10.0, description="the condition"):
     """Poll until a condition holds and return its value."""
     end = time.monotonic() + timeout
     while True:
@@ -30,7 +30,7 @@
         if value:
             return value
         if time.monotonic() > end:
-            raise TimeoutError(f"waited {timeout:g} s for {what}")
+            raise TimeoutError(f"waited {timeout:g} s for {description}")
         time.sleep(0.02)
 
 
@@ -64,11 +64,11 @@
         """Send one HTTP request and decode its JSON answer."""
         return json.loads(self.call(method, path, value, headers).data)
 
-    def fault(self, **faults):
+    def set_faults(self, **faults):
         """Set faults of a stand-in."""
         return self.json("PUT", "/faults", faults)
 
-    def starts(self):
+    def list_starts(self):
         """Return what an engine or service started."""
         return self.json("GET", "/starts")
 
@@ -81,11 +81,11 @@
         self.popen.kill()
         self.popen.wait()
 
-    def freeze(self):
+    def pause(self):
         """Pause the process; it doesn't notice."""
         self.signal(signal.SIGSTOP)
 
-    def thaw(self):
+    def resume(self):
         """Let a paused process go on."""
         self.signal(signal.SIGCONT)
 
@@ -95,7 +95,7 @@
         return self.popen.wait(timeout)
 
     @property
-    def running(self):
+    def is_running(self):
         """Whether the process lives."""
         return self.popen.poll() is None
 
@@ -126,7 +126,7 @@
     def __exit__(self, *_):
         for process in self.processes:
             with contextlib.suppress(Exception):
-                process.thaw()
+                process.resume()
                 process.kill()
             process.popen.stdout.close()
 
@@ -153,14 +153,14 @@
         names = [f"router-{index + 1}" for index in range(count)]
         started = [self.start_router(name, wait=False) for name in names]
         for router in started:
-            self.wait_serving(router)
-        self.wait_members()
+            self.wait_until_ready(router)
+        self.wait_for_members()
         return started
 
     def start_router(self, name, peer_port=None, wait=True, **overrides):
         """Start one router; a name used before gives a new incarnation."""
         region, hall = self.halls[len(self.routers) % len(self.halls)]
-        http, peer = free_port(), peer_port or free_port()
+        http, peer = reserve_port(), peer_port or reserve_port()
         path = self.write_settings(name, region, hall, http, peer, overrides)
         router = Process(
             name,
@@ -171,14 +171,14 @@
         router.peer_address = f"127.0.0.1:{peer}"
         self.processes.append(router)
         self.routers.append(router)
-        self.list_router(router, "live", region, hall)
+        self.register_router(router, "live", region, hall)
         if wait:
-            self.wait_serving(router)
+            self.wait_until_ready(router)
         return router
 
-    def wait_serving(self, router):
+    def wait_until_ready(self, router):
         """Wait until a router is ready."""
-        wait_until(lambda: self.serves(router), _START_TIMEOUT, f"{router.name} to serve")
+        wait_until(lambda: self.is_ready(router), _START_TIMEOUT, f"{router.name} to serve")
 
     def write_settings(self, name, region, hall, http, peer, overrides):
         """Write a router's settings file."""
@@ -212,7 +212,7 @@
 
     # --- the platform's list ---------------------------------------------------------
 
-    def list_router(self, router, state, region="south", hall="a"):
+    def register_router(self, router, state, region="south", hall="a"):
         """Put a router on the instance list."""
         record = {
             "name": router.name,
@@ -225,21 +225,21 @@
         }
         self.platform.call("PUT", f"/v1/instances/{router.name}", record)
 
-    def list_target(self, instance, state):
+    def register_target_instance(self, instance, state):
         """Put a target's instance on the instance list."""
         record = {"name": instance, "role": "target", "state": state}
         self.platform.call("PUT", f"/v1/instances/{instance}", record)
 
     # --- objects and state -----------------------------------------------------------
 
-    def put(self, kind, name, spec):
+    def put_object(self, kind, name, spec):
         """Write an object as it is, whatever its version."""
         path = f"/v1/objects/{kind}/{name}"
         found = self.platform.call("GET", path)
         version = json.loads(found.data)["version"] if found.status == 200 else 0
         return self.platform.call("PUT", path, spec, {"If-Match": str(version)})
 
-    def whinrack(self, *arguments, check=True):
+    def run_cli(self, *arguments, check=True):
         """Run the command line."""
         environment = _environment()
         environment["WHINRACK_PLATFORM"] = self.platform.address
@@ -259,35 +259,35 @@
         """Return a router's own word on its state."""
         return router.json("GET", "/v1/status", headers={"Whinrack-Fleet-Key": FLEET_KEY})
 
-    def serves(self, router):
+    def is_ready(self, router):
         """Whether a router is ready; raises if it has ended."""
-        if not router.running:
+        if not router.is_running:
             raise RuntimeError(f"{router.name} ended: {(router.log).read_text()[-2000:]}")
         with contextlib.suppress(urllib3.exceptions.HTTPError):
             return router.call("GET", "/readyz", timeout=1.0).status == 200
         return False
 
-    def wait_members(self):
+    def wait_for_members(self):
         """Wait until all running routers see each other."""
-        running = [router for router in self.routers if router.running]
+        running = [router for router in self.routers if router.is_running]
         for router in running:
             wait_until(
                 lambda router=router: len(self.status(router)["members"]) >= len(running) - 1,
-                what=f"{router.name} to see its peers",
+                description=f"{router.name} to see its peers",
             )
 
-    def wait_config(self, routers=None):
+    def wait_for_config(self, routers=None):
         """Wait until the newest stored configuration is in force at the routers."""
         kinds = "Workspace,Budget,TargetPool,Target,RoutingPolicy,ApiKey"
         stored = self.platform.json("GET", f"/v1/objects?kinds={kinds}")["objects"]
         newest = max(item["version"] for item in stored)
-        for router in routers or [router for router in self.routers if router.running]:
+        for router in routers or [router for router in self.routers if router.is_running]:
             wait_until(
                 lambda router=router: self.status(router)["newest"] >= newest,
-                what=f"{router.name} to be up to date",
+                description=f"{router.name} to be up to date",
             )
 
-    def counters(self, router):
+    def nonzero_metrics(self, router):
         """Return a router's metrics that aren't zero, by name and labels."""
         values = {}
         for line in router.call("GET", "/metrics").data.decode().splitlines():
--- a/standins/memory_store.py
+++ b/standins/memory_store.py
@@ -37,16 +37,16 @@
         self.objects: dict[tuple[str, str], StoredObject] = {}
         self.revision = 0
         self.down = False
-        self.lose_replies = 0
-        self.lose_writes = 0
-        self.hold_writes = 0
+        self.replies_to_drop = 0
+        self.writes_to_drop = 0
+        self.writes_to_delay = 0
         self._held: list[tuple[str, str, bytes, int]] = []
-        self.calls = 0
+        self.call_count = 0
         self.before_write = None
 
     def get(self, kind, name):
         """Read one object."""
-        self.calls += 1
+        self.call_count += 1
         if self.down:
             return Failure(PlatformUnavailable("down"))
         if (kind, name) not in self.objects:
@@ -55,7 +55,7 @@
 
     def list(self, kinds):
         """Read all objects of some kinds."""
-        self.calls += 1
+        self.call_count += 1
         if self.down:
             return Failure(PlatformUnavailable("down"))
         found = tuple(item for item in self.objects.values() if item.kind in kinds)
@@ -63,38 +63,38 @@
 
     def put(self, kind, name, value, version):
         """Write conditionally."""
-        self.calls += 1
+        self.call_count += 1
         if self.down:
             return Failure(PlatformUnavailable("down"))
         if self.before_write is not None:
             hook, self.before_write = self.before_write, None
             hook()
-        if self.lose_writes > 0:
-            self.lose_writes -= 1
+        if self.writes_to_drop > 0:
+            self.writes_to_drop -= 1
             return Failure(WriteUnknown(name))
-        if self.hold_writes > 0:
-            self.hold_writes -= 1
+        if self.writes_to_delay > 0:
+            self.writes_to_delay -= 1
             self._held.append((kind, name, value, version))
             return Failure(WriteUnknown(name))
         return self._write(kind, name, value, version)
 
-    def copy(self):
+    def take_snapshot(self):
         """Return what `restore` brings back."""
         return self.revision, dict(self.objects)
 
-    def restore(self, copy):
+    def restore(self, snapshot):
         """Come back from a copy, in the next era."""
         era = self.era.current + 1
         self.era.observe(str(era))
-        self.revision = compose_revision(era, revision_number(copy[0]))
+        self.revision = compose_revision(era, revision_number(snapshot[0]))
         self.objects = {
             key: msgspec.structs.replace(
                 stored, version=compose_revision(era, revision_number(stored.version))
             )
-            for key, stored in copy[1].items()
+            for key, stored in snapshot[1].items()
         }
 
-    def apply_held(self):
+    def apply_delayed_writes(self):
         """Apply the writes that were held back, as far as their condition still holds."""
         held, self._held = self._held, []
         for write in held:
@@ -107,14 +107,14 @@
         self.revision += 1
         stored = StoredObject(kind, name, self.revision, msgspec.Raw(value))
         self.objects[kind, name] = stored
-        if self.lose_replies > 0:
-            self.lose_replies -= 1
+        if self.replies_to_drop > 0:
+            self.replies_to_drop -= 1
             return Failure(WriteUnknown(name))
         return Success(stored)
 
     def delete(self, kind, name, version):
         """Delete conditionally."""
-        self.calls += 1
+        self.call_count += 1
         current = self.objects.get((kind, name))
         if version != (0 if current is None else current.version):
             return Failure(Conflict(name, current))
@@ -124,11 +124,11 @@
 
     def watch(self, kinds, since, wait):
         """Return changes after a revision, without waiting."""
-        self.calls += 1
+        self.call_count += 1
         changed = tuple(i for i in self.objects.values() if i.version > since and i.kind in kinds)
         return Success(WatchBatch(self.revision, changed))
 
     def instances(self):
         """Return an empty list."""
-        self.calls += 1
+        self.call_count += 1
         return Failure(PlatformUnavailable("down")) if self.down else Success(())
--- a/standins/ports.py
+++ b/standins/ports.py
@@ -12,7 +12,7 @@
 import socket
 import tempfile
 
-__all__ = ["free_port", "free_ports"]
+__all__ = ["reserve_port", "reserve_ports"]
 
 # Below the ports that the system gives to connections (from 32,768 on, unless set otherwise).
 _FIRST, _LAST = 12_000, 31_000
@@ -22,12 +22,12 @@
 _reserved: dict[int, object] = {}
 
 
-def free_port() -> int:
+def reserve_port() -> int:
     """Reserve a port on which nothing listens."""
-    return free_ports(1)
+    return reserve_ports(1)
 
 
-def free_ports(count: int) -> int:
+def reserve_ports(count: int) -> int:
     """Reserve ports in a row; returns the first of them."""
     while True:
         first = random.randrange(_FIRST, _LAST - count)
--- a/tests/support.py
+++ b/tests/support.py
@@ -80,7 +80,7 @@
             fleet.start_service(name)
         fleet.caller = declare_objects(fleet, budget)
         fleet.start_routers(routers)
-        fleet.wait_config()
+        fleet.wait_for_config()
     except BaseException:
         fleet.__exit__()
         raise
@@ -90,33 +90,33 @@
 def declare_objects(fleet, budget):
     """Create the objects of a small fleet and return a caller with its API key."""
     bearer, key = make_key("k", "w", "b")
-    fleet.put("Workspace", "w", {})
-    fleet.put("TargetPool", "chat", {"models": ["m"], "max_output_tokens": 2000})
-    fleet.put("TargetPool", "board", {"protocol": "service", "repeatable": True})
-    fleet.put("Budget", "b", {"workspace": "w", "account": "account-0001"})
-    fleet.whinrack("budget", "topup", "b", budget, "--id", "first")
+    fleet.put_object("Workspace", "w", {})
+    fleet.put_object("TargetPool", "chat", {"models": ["m"], "max_output_tokens": 2000})
+    fleet.put_object("TargetPool", "board", {"protocol": "service", "repeatable": True})
+    fleet.put_object("Budget", "b", {"workspace": "w", "account": "account-0001"})
+    fleet.run_cli("budget", "topup", "b", budget, "--id", "first")
     for name, process in fleet.targets.items():
         pool = "board" if name.startswith("s") else "chat"
         declare_target(fleet, name, pool, process)
     spec = {field: getattr(key, field) for field in key.__struct_fields__}
-    fleet.put("ApiKey", "k", spec)
+    fleet.put_object("ApiKey", "k", spec)
     return Caller(bearer)
 
 
 def declare_target(fleet, name, pool, process, **fields):
     """Create or replace the object of a target."""
     spec = {"pool": pool, "address": process.address, "instance": f"i-{name}", **fields}
-    fleet.put("Target", name, spec)
+    fleet.put_object("Target", name, spec)
 
 
 def read_budget(fleet, name="b"):
     """Return the output of `whinrack budget show` for a budget."""
-    return json.loads(fleet.whinrack("budget", "show", name, "--output", "json").stdout)
+    return json.loads(fleet.run_cli("budget", "show", name, "--output", "json").stdout)
 
 
 def read_bill(fleet):
     """Return the bill of workspace `w`, or None if nothing was billed."""
-    return json.loads(fleet.whinrack("bill", "--output", "json").stdout).get("w")
+    return json.loads(fleet.run_cli("bill", "--output", "json").stdout).get("w")
 
 
 def stream_text(answer):
@@ -170,12 +170,12 @@
 def reset_faults(fleet):
     """Reset the faults of all stand-ins after a test."""
     yield
-    fleet.platform.fault(down=False, delay=0.0, lose_replies=0, watch_lag=0.0, list_lag=0.0)
+    fleet.platform.set_faults(down=False, delay=0.0, lose_replies=0, watch_lag=0.0, list_lag=0.0)
     for name, process in fleet.targets.items():
         if name.startswith("s"):
-            process.fault(delay=0.0, status=200, cut=False)
+            process.set_faults(delay=0.0, status=200, cut=False)
         else:
-            process.fault(
+            process.set_faults(
                 token_delay=0.0,
                 first_delay=0.0,
                 cut_after=-1,
--- a/tests/test_callers.py
+++ b/tests/test_callers.py
@@ -77,13 +77,15 @@
 
 def test_an_exhausted_budget_is_not_retried_by_the_client(fleet):
     router = fleet.routers[0]
-    before = fleet.counters(router).get('whinrack_refusals_total{reason="budget_exhausted"}', 0)
+    before = fleet.nonzero_metrics(router).get(
+        'whinrack_refusals_total{reason="budget_exhausted"}', 0
+    )
     with pytest.raises(openai.APIStatusError) as raised:
         openai_client(fleet, max_retries=3).chat.completions.create(
             model="m", messages=[{"role": "user", "content": "a " * 60_000}], max_tokens=2
         )
     assert raised.value.status_code == 402
-    after = fleet.counters(router)['whinrack_refusals_total{reason="budget_exhausted"}']
+    after = fleet.nonzero_metrics(router)['whinrack_refusals_total{reason="budget_exhausted"}']
     assert after == before + 1
 
 
@@ -178,10 +180,12 @@
 
 @pytest.mark.usefixtures("reset_faults")
 def test_an_interrupted_stream_is_resumed_and_completed(fleet):
-    fleet.targets["e1"].fault(cut_after=4)
+    fleet.targets["e1"].set_faults(cut_after=4)
     answer = fleet.caller.stream(fleet.routers[0])
     assert stream_text(answer) == expected_text("one two three", 10)
-    assert len([s for s in fleet.targets["e1"].starts() if s["id"] in str(answer.headers)]) == 1
+    assert (
+        len([s for s in fleet.targets["e1"].list_starts() if s["id"] in str(answer.headers)]) == 1
+    )
 
 
 @pytest.mark.usefixtures("reset_faults")
@@ -189,7 +193,7 @@
     "faults", [{"foreign_id": True}, {"duplicate": True}, {"overrun": 50}, {"cut_after": 0}]
 )
 def test_an_invalid_stream_is_never_reported_as_complete(fleet, faults):
-    fleet.targets["e1"].fault(**faults)
+    fleet.targets["e1"].set_faults(**faults)
     answer = fleet.caller.stream(fleet.routers[0])
     if faults.get("cut_after") == 0 and answer.status == 200:
         assert stream_text(answer) == expected_text("one two three", 10)
@@ -202,7 +206,7 @@
 @pytest.mark.usefixtures("reset_faults")
 @pytest.mark.parametrize("faults", [{"foreign_id": True}, {"cut_after": 0}])
 def test_an_invalid_non_streamed_answer_is_dropped(fleet, faults):
-    fleet.targets["e1"].fault(**faults)
+    fleet.targets["e1"].set_faults(**faults)
     answer = fleet.caller.chat(fleet.routers[0])
     assert answer.status == 502
     assert answer.headers["Whinrack-Outcome"] == "unknown"
@@ -211,7 +215,7 @@
 
 @pytest.mark.usefixtures("reset_faults")
 def test_a_disconnect_cancels_generation_and_settles_the_cover(fleet):
-    fleet.targets["e1"].fault(token_delay=0.02)
+    fleet.targets["e1"].set_faults(token_delay=0.02)
     router = fleet.routers[0]
     host, port = router.address.split(":")
     body = json.dumps({**VALID_BODY, "max_tokens": 1000, "stream": True}).encode()
@@ -223,14 +227,14 @@
             + body
         )
         assert sock.recv(100).startswith(b"HTTP/1.1 200")
-    last = wait_until(lambda: (s := fleet.targets["e1"].starts()[-1])["cancelled"] and s)
+    last = wait_until(lambda: (s := fleet.targets["e1"].list_starts()[-1])["cancelled"] and s)
     assert last["generated"] < 500
     wait_until(lambda: open_cover_tokens(fleet) == 0)
 
 
 @pytest.mark.usefixtures("reset_faults")
 def test_overloaded_targets_are_answered_with_retry_after(fleet):
-    fleet.targets["e1"].fault(busy=True)
+    fleet.targets["e1"].set_faults(busy=True)
     answer = fleet.caller.chat(fleet.routers[0])
     assert answer.status == 503
     assert int(answer.headers["Retry-After"]) >= 1
@@ -240,9 +244,9 @@
 @pytest.mark.usefixtures("reset_faults")
 def test_no_request_is_sent_to_an_engine_before_its_retry_after(fleet):
     engine = fleet.targets["e1"]
-    engine.fault(busy=True, rest="3")
+    engine.set_faults(busy=True, rest="3")
     assert fleet.caller.chat(fleet.routers[0]).status == 503
-    engine.fault(busy=False)
+    engine.set_faults(busy=False)
     began = time.monotonic()
     answer = fleet.caller.chat(fleet.routers[0])
     assert (answer.status, answer.headers["Whinrack-Attempts"]) == (503, "0")
@@ -255,9 +259,9 @@
 @pytest.mark.usefixtures("reset_faults")
 def test_no_request_is_sent_to_an_engine_that_reports_leaving(fleet):
     engine, router = fleet.targets["e1"], fleet.routers[0]
-    engine.fault(leaving=True)
+    engine.set_faults(leaving=True)
     wait_until(lambda: fleet.caller.chat(router).status == 503)
-    engine.fault(leaving=False)
+    engine.set_faults(leaving=False)
     wait_until(lambda: fleet.caller.chat(router).status == 200)
 
 
@@ -289,7 +293,7 @@
 def test_reused_target_connections_cause_no_retries(fleet):
     """A load test failed because the end of a stream was left unread on a reused connection."""
     router = fleet.routers[1]
-    fleet.targets["e1"].fault(token_delay=0.002)
+    fleet.targets["e1"].set_faults(token_delay=0.002)
 
     def send_streams():
         for number in range(25):
@@ -298,4 +302,4 @@
         return "done"
 
     assert run_in_parallel(*[send_streams] * 4) == ["done"] * 4
-    assert not [name for name in fleet.counters(router) if "retries_total" in name]
+    assert not [name for name in fleet.nonzero_metrics(router) if "retries_total" in name]
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -28,14 +28,14 @@
     for number in range(10):
         state = ("false_refusals", "overspend")[number % 2]
         began = time.monotonic()
-        fleet.put("Workspace", "w", {"weighting": state})
-        fleet.wait_config()
+        fleet.put_object("Workspace", "w", {"weighting": state})
+        fleet.wait_for_config()
         seconds.append(time.monotonic() - began)
     assert max(seconds) < 2.0
 
 
 def test_versions_never_decrease_while_watches_lag(fleet):
-    fleet.platform.fault(watch_lag=0.5)
+    fleet.platform.set_faults(watch_lag=0.5)
     observed_versions = {router.name: [] for router in fleet.routers}
     ended = threading.Event()
 
@@ -47,10 +47,12 @@
     for follower in followers:
         follower.start()
     for number in range(20):
-        fleet.put("Workspace", "w", {"weighting": ("false_refusals", "overspend")[number % 2]})
-        fleet.platform.fault(watch_lag=(0.5, 0.0)[number % 2])
+        fleet.put_object(
+            "Workspace", "w", {"weighting": ("false_refusals", "overspend")[number % 2]}
+        )
+        fleet.platform.set_faults(watch_lag=(0.5, 0.0)[number % 2])
         time.sleep(0.03)
-    fleet.wait_config()
+    fleet.wait_for_config()
     ended.set()
     for follower in followers:
         follower.join()
@@ -61,7 +63,7 @@
 
 def test_a_restart_without_disk_or_platform_gets_its_configuration_from_peers(fleet):
     version = stored_version(fleet)
-    fleet.platform.fault(down=True)
+    fleet.platform.set_faults(down=True)
     fleet.routers[0].kill()
     restarted = fleet.start_router("router-1")
     assert config_version(fleet, restarted) == version
@@ -69,10 +71,10 @@
 
 
 def test_a_missed_change_is_fetched_from_peers_during_an_outage(fleet):
-    fleet.routers[1].freeze()
-    fleet.put("Workspace", "w", {"weighting": "false_refusals"})
-    fleet.platform.fault(down=True)
-    fleet.routers[1].thaw()
+    fleet.routers[1].pause()
+    fleet.put_object("Workspace", "w", {"weighting": "false_refusals"})
+    fleet.platform.set_faults(down=True)
+    fleet.routers[1].resume()
     # The platform is unavailable, so the router can fetch the change from its peers only.
     wait_until(
         lambda: config_version(fleet, fleet.routers[0]) == read_stored_version_during_outage(fleet)
@@ -83,9 +85,9 @@
 
 
 def read_stored_version_during_outage(fleet):
-    fleet.platform.fault(down=False)
+    fleet.platform.set_faults(down=False)
     version = stored_version(fleet)
-    fleet.platform.fault(down=True)
+    fleet.platform.set_faults(down=True)
     return version
 
 
@@ -93,8 +95,8 @@
     text = 'kind = "Workspace"\nname = "w"\n[spec]\nweighting = "false_refusals"\n'
     (tmp_path / "w.toml").write_text(text)
     read = json.loads(fleet.platform.call("GET", "/v1/objects?kinds=Workspace").data)["revision"]
-    fleet.put("Workspace", "w", {"default_class": "deferrable"})
-    result = fleet.whinrack("apply", tmp_path, "--read", read, check=False)
+    fleet.put_object("Workspace", "w", {"default_class": "deferrable"})
+    result = fleet.run_cli("apply", tmp_path, "--read", read, check=False)
     assert result.returncode == 3
     assert "conflict" in result.stderr
     assert "false_refusals" in result.stderr
@@ -102,8 +104,8 @@
 
 
 def test_an_invalid_object_leaves_the_last_good_version_in_force(fleet):
-    fleet.put("TargetPool", "board", {"protocol": "service", "queue_limit": -3})
-    fleet.wait_config()
+    fleet.put_object("TargetPool", "board", {"protocol": "service", "queue_limit": -3})
+    fleet.wait_for_config()
     assert fleet.caller.post(fleet.routers[0]).status == 200
     assert "W3002" in fleet.routers[0].log.read_text()
 
@@ -112,10 +114,10 @@
     (tmp_path / "b.toml").write_text(
         'kind = "Budget"\nname = "c"\n[spec]\nworkspace = "w"\ntopups = [{id = "x", tokens = 70}]\n'
     )
-    fleet.platform.fault(lose_replies=2)
+    fleet.platform.set_faults(lose_replies=2)
     for _ in range(2):
-        fleet.whinrack("apply", tmp_path)
-    shown = json.loads(fleet.whinrack("budget", "show", "c", "--output", "json").stdout)
+        fleet.run_cli("apply", tmp_path)
+    shown = json.loads(fleet.run_cli("budget", "show", "c", "--output", "json").stdout)
     assert (shown["limit"], shown["free"]) == (70, 70)
 
 
@@ -129,8 +131,8 @@
     halls = (("south", "a"), ("south", "b"))
     with start_fleet(routers=8, engines=(), halls=halls, settings=settings) as fleet:
         wait_until(lambda: sum(fleet.status(router)["watching"] for router in fleet.routers) == 2)
-        change = lambda: fleet.put("Workspace", "w", {"weighting": "false_refusals"})  # noqa: E731
+        change = lambda: fleet.put_object("Workspace", "w", {"weighting": "false_refusals"})  # noqa: E731
         began = time.monotonic()
         run_in_parallel(change)
-        fleet.wait_config()
+        fleet.wait_for_config()
         assert time.monotonic() - began < 2.0
--- a/tests/test_golden.py
+++ b/tests/test_golden.py
@@ -69,17 +69,17 @@
         record(
             "a request larger than the budget", caller.chat(first, text="x" * 2000, max_tokens=3)
         )
-        fleet.targets["e1"].fault(busy=True)
+        fleet.targets["e1"].set_faults(busy=True)
         record("an overloaded target", caller.chat(first, text="busy", max_tokens=3))
-        fleet.targets["e1"].fault(busy=False, foreign_id=True)
+        fleet.targets["e1"].set_faults(busy=False, foreign_id=True)
         record("an answer to another request", caller.stream(first, text="foreign", max_tokens=3))
-        fleet.targets["e1"].fault(foreign_id=False)
-        fleet.platform.fault(down=True)
+        fleet.targets["e1"].set_faults(foreign_id=False)
+        fleet.platform.set_faults(down=True)
         record(
             "a request that is not repeatable, without platform",
             caller.post(first, key="k3", repeatable="no"),
         )
-        fleet.platform.fault(down=False)
+        fleet.platform.set_faults(down=False)
         wait_until(lambda: not fleet.status(first)["grants"][0]["unreported"])
-        lines.append("--- the bill\n" + fleet.whinrack("bill").stdout)
+        lines.append("--- the bill\n" + fleet.run_cli("bill").stdout)
     assert_matches_golden("processes", "\n".join(lines))
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -45,7 +45,7 @@
 
     def _router(self, number):
         """Choose one of the addresses that a running router lists as entry points."""
-        serving = [router for router in self.fleet.routers if router.running]
+        serving = [router for router in self.fleet.routers if router.is_running]
         by_address = {router.address: router for router in serving}
         try:
             entry = serving[number % len(serving)].json("GET", "/v1/entry")
@@ -65,12 +65,12 @@
 def fleet():
     with start_fleet(engines=("e1", "e2"), settings={"stop": {"linger": "1.5"}}) as started:
         for name in ("e1", "e2"):
-            started.targets[name].fault(token_delay=0.01)
+            started.targets[name].set_faults(token_delay=0.01)
         yield started
 
 
 def start_count(fleet, name):
-    return len(fleet.targets[name].starts())
+    return len(fleet.targets[name].list_starts())
 
 
 def seconds_until_last_start(fleet, name, watched=5.0):
@@ -86,11 +86,11 @@
 
 
 def drain_instance(fleet):
-    assert fleet.whinrack("instance", "drain", "i-e1").returncode == 0
+    assert fleet.run_cli("instance", "drain", "i-e1").returncode == 0
 
 
 def list_as_leaving(fleet):
-    fleet.list_target("i-e1", "leaving")
+    fleet.register_target_instance("i-e1", "leaving")
 
 
 @pytest.mark.parametrize("announce", [drain_instance, list_as_leaving])
@@ -110,11 +110,11 @@
 
 
 def test_the_target_object_suffices_while_the_list_lags(fleet):
-    fleet.platform.fault(list_lag=10.0)
+    fleet.platform.set_faults(list_lag=10.0)
     load = Load(fleet)
     wait_until(lambda: start_count(fleet, "e1") > 5)
     drain_instance(fleet)
-    fleet.list_target("i-e1", "leaving")
+    fleet.register_target_instance("i-e1", "leaving")
     seconds = seconds_until_last_start(fleet, "e1")
     load.stop_sending()
     assert load.failures == []
@@ -126,8 +126,8 @@
     wait_until(lambda: load.answered > 10)
     for index in range(3):
         fleet.start_router(f"new-{index + 1}")
-        fleet.wait_members()
-        fleet.wait_config()
+        fleet.wait_for_members()
+        fleet.wait_for_config()
         assert fleet.routers[index].stop() == 0
     load.stop_sending()
     assert load.failures == []
@@ -135,7 +135,9 @@
         assert router.stop() == 0
     books = read_budget(fleet)
     assert books["outstanding"] == books["unproven"] == 0
-    served = sum(row["tokens"] for name in ("e1", "e2") for row in fleet.targets[name].starts())
+    served = sum(
+        row["tokens"] for name in ("e1", "e2") for row in fleet.targets[name].list_starts()
+    )
     assert books["billed"] == served
 
 
--- a/tests/test_once.py
+++ b/tests/test_once.py
@@ -42,7 +42,7 @@
 
 
 def service_starts(fleet):
-    return len(fleet.targets["s1"].starts())
+    return len(fleet.targets["s1"].list_starts())
 
 
 def outcome(answer):
@@ -52,11 +52,11 @@
 def kill_during_request(fleet, send, victim=0):
     """Send a request and kill the router while the target processes the request."""
     thread = threading.Thread(target=lambda: run_in_parallel(send))
-    before = sum(len(process.starts()) for process in fleet.targets.values())
+    before = sum(len(process.list_starts()) for process in fleet.targets.values())
     thread.start()
     wait_until(
-        lambda: sum(len(process.starts()) for process in fleet.targets.values()) > before,
-        what="the target to start",
+        lambda: sum(len(process.list_starts()) for process in fleet.targets.values()) > before,
+        description="the target to start",
     )
     fleet.routers[victim].kill()
     thread.join()
@@ -66,7 +66,7 @@
 
 
 def test_concurrent_retries_at_all_instances_run_and_bill_once(fleet):
-    fleet.targets["e1"].fault(token_delay=0.02)
+    fleet.targets["e1"].set_faults(token_delay=0.02)
     ticket = get_ticket(fleet.routers[0])
     sends = [
         lambda router=router: fleet.caller.stream(router, key="same", ticket=ticket)
@@ -75,7 +75,7 @@
     answers = run_in_parallel(*sends, *sends)
     texts = {stream_text(answer) for answer in answers}
     assert texts == {expected_text("one two three", 10)}
-    assert len(fleet.targets["e1"].starts()) == 1
+    assert len(fleet.targets["e1"].list_starts()) == 1
     wait_until(lambda: read_budget(fleet)["billed"] == 13)
     assert read_bill(fleet) == {"requests": 1, "tokens": 13, "duplicate_tokens": 0}
 
@@ -90,24 +90,24 @@
 
 def test_concurrent_retries_without_a_ticket_are_joined(stable_membership_fleet):
     fleet = stable_membership_fleet
-    fleet.targets["e1"].fault(token_delay=0.02)
+    fleet.targets["e1"].set_faults(token_delay=0.02)
     for number in range(1, 7):
         assert stream_at_all_routers(fleet, f"same {number}") == {
             expected_text("one two three", 10)
         }
-        assert len(fleet.targets["e1"].starts()) == number
+        assert len(fleet.targets["e1"].list_starts()) == number
         assert read_bill(fleet)["requests"] == number
 
 
 def test_a_paused_instance_does_not_make_a_request_run_twice(stable_membership_fleet):
     fleet = stable_membership_fleet
-    fleet.targets["e1"].fault(token_delay=0.02)
+    fleet.targets["e1"].set_faults(token_delay=0.02)
     for number, router in enumerate(fleet.routers, start=1):
         pause_until_suspected(router)
         assert stream_at_all_routers(fleet, f"same {number}") == {
             expected_text("one two three", 10)
         }
-        assert len(fleet.targets["e1"].starts()) == number
+        assert len(fleet.targets["e1"].list_starts()) == number
     assert read_bill(fleet) == {"requests": 3, "tokens": 39, "duplicate_tokens": 0}
 
 
@@ -116,7 +116,7 @@
 
     It is billed once nevertheless.
     """
-    fleet.targets["e1"].fault(token_delay=0.02)
+    fleet.targets["e1"].set_faults(token_delay=0.02)
     for number, router in enumerate(fleet.routers, start=1):
         pause_until_suspected(router)
         assert stream_at_all_routers(fleet, f"same {number}") == {
@@ -124,15 +124,15 @@
         }
     bill = read_bill(fleet)
     assert (bill["requests"], bill["tokens"]) == (3, 39)
-    starts = len(fleet.targets["e1"].starts())
+    starts = len(fleet.targets["e1"].list_starts())
     assert bill["duplicate_tokens"] == 13 * (starts - 3)
 
 
 def pause_until_suspected(router):
     """Suspend a router for longer than the ``suspect_after`` of its peers."""
-    router.freeze()
+    router.pause()
     time.sleep(1.4)
-    router.thaw()
+    router.resume()
 
 
 def test_a_later_retry_gets_the_same_answer_and_no_second_bill(fleet):
@@ -145,7 +145,7 @@
 
 
 def test_a_stream_of_a_killed_router_is_completed_by_a_peer_and_billed_once(fleet):
-    fleet.targets["e1"].fault(token_delay=0.05)
+    fleet.targets["e1"].set_faults(token_delay=0.05)
     ticket = get_ticket(fleet.routers[0])
     send = lambda router: fleet.caller.stream(router, key="k", ticket=ticket)  # noqa: E731
     kill_during_request(fleet, lambda: send(fleet.routers[0]))
@@ -191,7 +191,7 @@
 
 
 def test_not_repeatable_requests_run_once_at_any_instance(fleet):
-    fleet.targets["s1"].fault(delay=0.3)
+    fleet.targets["s1"].set_faults(delay=0.3)
     sends = [
         lambda router=router: fleet.caller.post(router, key="alert", repeatable="no")
         for router in fleet.routers
@@ -203,7 +203,7 @@
 
 @pytest.mark.parametrize("ticketed", [True, False])
 def test_after_a_kill_a_not_repeatable_request_is_unknown_and_not_run_again(fleet, ticketed):
-    fleet.targets["s1"].fault(delay=2.0)
+    fleet.targets["s1"].set_faults(delay=2.0)
     options = {"key": "alert", "repeatable": "no"}
     if ticketed:
         options["ticket"] = get_ticket(fleet.routers[0])
@@ -223,7 +223,7 @@
     options = {"key": "alert", "repeatable": "no"}
     if ticketed:
         options["ticket"] = get_ticket(fleet.routers[0])
-    fleet.routers[0].freeze()
+    fleet.routers[0].pause()
     results = []
     sleeper = threading.Thread(
         target=lambda: results.extend(
@@ -237,7 +237,7 @@
     )
     ran = sum(answer.status == 200 for answer in answers)
     time.sleep(1.5)
-    fleet.routers[0].thaw()
+    fleet.routers[0].resume()
     sleeper.join()
     assert service_starts(fleet) <= 1
     if ticketed:
@@ -249,21 +249,21 @@
 
 
 def test_without_platform_and_ticket_a_request_is_refused_as_not_run(fleet):
-    fleet.platform.fault(down=True)
+    fleet.platform.set_faults(down=True)
     answer = fleet.caller.post(fleet.routers[1], key="alert", repeatable="no")
     assert answer.status == 503
     assert outcome(answer) == "not_run"
     assert json.loads(answer.data)["error"]["code"] == "claim_unavailable"
     assert int(answer.headers["Retry-After"]) >= 1
     assert service_starts(fleet) == 0
-    fleet.platform.fault(down=False)
+    fleet.platform.set_faults(down=False)
     retried = fleet.caller.post(fleet.routers[2], key="alert", repeatable="no")
     assert retried.status == 200
     assert service_starts(fleet) == 1
 
 
 def test_a_claim_whose_reply_is_lost_runs_once(fleet):
-    fleet.platform.fault(lose_replies=1)
+    fleet.platform.set_faults(lose_replies=1)
     options = {"key": "alert", "repeatable": "no"}
     answers = run_in_parallel(*[lambda r=r: fleet.caller.post(r, **options) for r in fleet.routers])
     assert 200 in [answer.status for answer in answers]
@@ -275,11 +275,11 @@
     """Found in review: the home refused the first retry, but ran the second one."""
     ticket = get_ticket(fleet.routers[0])
     options = {"key": "alert", "repeatable": "no"}
-    fleet.targets["s1"].fault(delay=1.0)
-    fleet.platform.fault(down=True)
+    fleet.targets["s1"].set_faults(delay=1.0)
+    fleet.platform.set_faults(down=True)
     send = lambda: fleet.caller.post(fleet.routers[1], ticket=ticket, **options)  # noqa: E731
     kill_during_request(fleet, send, victim=1)
-    fleet.platform.fault(down=False)
+    fleet.platform.set_faults(down=False)
     if ticketed:
         options["ticket"] = ticket
     for _ in range(3):
@@ -289,13 +289,13 @@
 
 @pytest.mark.parametrize("ticketed", [True, False])
 def test_a_broken_service_answer_is_unknown_and_not_run_again(fleet, ticketed):
-    fleet.targets["s1"].fault(cut=True)
+    fleet.targets["s1"].set_faults(cut=True)
     options = {"key": "alert", "repeatable": "no"}
     if ticketed:
         options["ticket"] = get_ticket(fleet.routers[0])
     first = fleet.caller.post(fleet.routers[0], **options)
     assert outcome(first) == "unknown"
-    fleet.targets["s1"].fault(cut=False)
+    fleet.targets["s1"].set_faults(cut=False)
     for router in fleet.routers:
         assert outcome(fleet.caller.post(router, **options)) == "unknown"
     assert service_starts(fleet) == 1
@@ -303,24 +303,24 @@
 
 def test_an_unmarked_post_is_not_sent_twice(fleet):
     """Found in review: a post whose answer was cut off would have been sent again."""
-    fleet.targets["s1"].fault(cut=True)
+    fleet.targets["s1"].set_faults(cut=True)
     assert outcome(fleet.caller.post(fleet.routers[0])) == "unknown"
     assert service_starts(fleet) == 1
 
 
 def test_a_policy_can_only_make_requests_stricter(fleet):
-    fleet.put("RoutingPolicy", "strict", {"program": '{"repeatable": false}'})
-    fleet.put("Workspace", "w", {"policy": "strict"})
-    fleet.wait_config()
-    fleet.targets["s1"].fault(cut=True)
+    fleet.put_object("RoutingPolicy", "strict", {"program": '{"repeatable": false}'})
+    fleet.put_object("Workspace", "w", {"policy": "strict"})
+    fleet.wait_for_config()
+    fleet.targets["s1"].set_faults(cut=True)
     assert outcome(fleet.caller.post(fleet.routers[0], repeatable="yes")) == "unknown"
     assert service_starts(fleet) == 1
 
 
 def test_a_pool_can_only_make_requests_stricter(fleet):
-    fleet.put("TargetPool", "board", {"protocol": "service", "repeatable": False})
-    fleet.wait_config()
-    fleet.targets["s1"].fault(cut=True)
+    fleet.put_object("TargetPool", "board", {"protocol": "service", "repeatable": False})
+    fleet.wait_for_config()
+    fleet.targets["s1"].set_faults(cut=True)
     answer = fleet.caller.post(fleet.routers[0], repeatable="yes")
     assert outcome(answer) == "unknown"
     assert service_starts(fleet) == 1
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -17,7 +17,7 @@
 
 
 def refused_peer_count(fleet, router):
-    return fleet.counters(router).get('whinrack_peer_refused_total{reason="fleet_key"}', 0)
+    return fleet.nonzero_metrics(router).get('whinrack_peer_refused_total{reason="fleet_key"}', 0)
 
 
 def test_a_peer_with_another_key_is_refused_and_counted():
@@ -25,7 +25,7 @@
         stranger = fleet.start_router("stranger", peer={"fleet_key": "another-key-of-some-length"})
         wait_until(lambda: refused_peer_count(fleet, fleet.routers[0]) > 0)
         assert "stranger" not in fleet.status(fleet.routers[0])["members"]
-        assert fleet.serves(stranger)
+        assert fleet.is_ready(stranger)
 
 
 def test_neither_keys_nor_prompts_reach_the_logs():
--- a/tests/test_ports.py
+++ b/tests/test_ports.py
@@ -18,20 +18,20 @@
 
 
 def test_free_ports_are_below_the_ephemeral_range():
-    assert all(ports.free_port() < first_ephemeral_port() for _ in range(50))
+    assert all(ports.reserve_port() < first_ephemeral_port() for _ in range(50))
 
 
 def test_a_port_is_returned_once():
-    given = [ports.free_port() for _ in range(200)]
+    given = [ports.reserve_port() for _ in range(200)]
     assert len(set(given)) == len(given)
 
 
 def test_consecutive_ports_are_all_reserved(monkeypatch):
-    first = ports.free_ports(5)
+    first = ports.reserve_ports(5)
     # An earlier test may have reserved the next port already.
     after = next(port for port in range(first + 5, ports._LAST) if _can_be_reserved(port))
     monkeypatch.setattr(ports.random, "randrange", _return_in_turn(first + 2, first + 4, after))
-    assert ports.free_port() == after
+    assert ports.reserve_port() == after
 
 
 def _can_be_reserved(port):
@@ -43,7 +43,7 @@
 
 
 def test_another_process_does_not_get_a_reserved_port():
-    port = ports.free_port()
+    port = ports.reserve_port()
     script = f"from standins import ports; print(ports._reserve(range({port}, {port + 1})))"
     result = subprocess.run(
         [sys.executable, "-c", script], cwd=ROOT, capture_output=True, text=True, check=True
@@ -56,10 +56,10 @@
         listener.bind(("127.0.0.1", 0))
         listener.listen()
         busy = listener.getsockname()[1]
-        free = ports.free_port()
+        free = ports.reserve_port()
         ports._unlock([free])
         monkeypatch.setattr(ports.random, "randrange", _return_in_turn(busy, free))
-        assert ports.free_port() == free
+        assert ports.reserve_port() == free
 
 
 def _return_in_turn(*values):
--- a/tests/test_spend.py
+++ b/tests/test_spend.py
@@ -18,7 +18,7 @@
         row["tokens"]
         for name, process in fleet.targets.items()
         if name.startswith("e")
-        for row in process.starts()
+        for row in process.list_starts()
     )
 
 
@@ -67,21 +67,21 @@
 
 
 def outage(fleet):
-    fleet.platform.fault(down=True)
+    fleet.platform.set_faults(down=True)
     time.sleep(1.0)
-    fleet.platform.fault(down=False)
+    fleet.platform.set_faults(down=False)
 
 
 def lost_replies(fleet):
     for _ in range(5):
-        fleet.platform.fault(lose_replies=3)
+        fleet.platform.set_faults(lose_replies=3)
         time.sleep(0.2)
 
 
 def frozen_holder(fleet):
-    fleet.routers[1].freeze()
+    fleet.routers[1].pause()
     time.sleep(2.5)
-    fleet.routers[1].thaw()
+    fleet.routers[1].resume()
     time.sleep(0.5)
 
 
@@ -91,7 +91,7 @@
 
 
 def top_up_race(fleet):
-    add = lambda: fleet.whinrack("budget", "topup", "b", 500, "--id", "more")  # noqa: E731
+    add = lambda: fleet.run_cli("budget", "topup", "b", 500, "--id", "more")  # noqa: E731
     run_in_parallel(add, add, add)
 
 
@@ -103,7 +103,7 @@
     with start_fleet(budget=BUDGET, engines=("e1", "e2")) as fleet:
         for engine in fleet.targets.values():
             if engine.name.startswith("e"):
-                engine.fault(token_delay=0.002)
+                engine.set_faults(token_delay=0.002)
         workers, statuses = start_load(fleet, seconds=5.0)
         time.sleep(0.4)
         fault(fleet)
@@ -131,15 +131,15 @@
         for _ in range(8):
             for router in fleet.routers:
                 assert fleet.caller.stream(router, max_tokens=20).status == 200
-        fleet.platform.fault(down=True)
-        fleet.routers[1].freeze()
+        fleet.platform.set_faults(down=True)
+        fleet.routers[1].pause()
         north = [fleet.caller.stream(fleet.routers[0], max_tokens=20).status for _ in range(30)]
-        fleet.routers[1].thaw()
+        fleet.routers[1].resume()
         south = [fleet.caller.stream(fleet.routers[1], max_tokens=20).status for _ in range(30)]
         assert generated_tokens(fleet) <= 3000
         assert north.count(200) >= 5
         assert south.count(200) >= 5
-        fleet.platform.fault(down=False)
+        fleet.platform.set_faults(down=False)
         wait_until(lambda: read_budget(fleet)["billed"] == generated_tokens(fleet))
         assert_books_balance(fleet)
 
@@ -153,7 +153,7 @@
         books = assert_books_balance(fleet)
         row = next(row for row in books["holders"] if row["holder"] == held)
         assert row["outstanding"] > 0
-        fleet.whinrack("budget", "release", "b", "--holder", held, "--served", 0, "--yes")
+        fleet.run_cli("budget", "release", "b", "--holder", held, "--served", 0, "--yes")
         after = assert_books_balance(fleet)
         assert after["free"] == books["free"] + row["outstanding"]
 
--- a/whinrack/budgets/tests/test_budget_manager.py
+++ b/whinrack/budgets/tests/test_budget_manager.py
@@ -170,8 +170,8 @@
     @rule(down=st.booleans(), replies=st.integers(0, 3), writes=st.integers(0, 2))
     def platform_faults(self, down, replies, writes):
         self.fleet.store.down = down
-        self.fleet.store.lose_replies = replies
-        self.fleet.store.lose_writes = writes
+        self.fleet.store.replies_to_drop = replies
+        self.fleet.store.writes_to_drop = writes
         self.fleet.lose_spare_replies = replies
 
     @rule(tokens=st.integers(1, 500), repeat=st.booleans())
@@ -290,7 +290,7 @@
 
 def test_topup_repeated_after_a_lost_reply_counts_once():
     fleet = Fleet((), 100)
-    fleet.store.lose_replies = 1
+    fleet.store.replies_to_drop = 1
     change = lambda account: apply_topups(account, "b", {"2": 50})  # noqa: E731
     fleet.editor.apply("a", change)
     fleet.editor.apply("a", change)
--- a/whinrack/budgets/tests/test_grants.py
+++ b/whinrack/budgets/tests/test_grants.py
@@ -287,15 +287,15 @@
 
     @rule(replies=st.integers(1, 3))
     def lose_store_replies(self, replies):
-        self.fleet.store.lose_replies = replies
+        self.fleet.store.replies_to_drop = replies
 
     @rule(writes=st.integers(1, 3))
     def hold_writes(self, writes):
-        self.fleet.store.hold_writes = writes
+        self.fleet.store.writes_to_delay = writes
 
     @rule()
     def apply_held_writes(self):
-        self.fleet.store.apply_held()
+        self.fleet.store.apply_delayed_writes()
 
     @rule(replies=st.integers(1, 3))
     def lose_peer_replies(self, replies):
@@ -324,7 +324,7 @@
 
     def teardown(self):
         """Heal everything and use what is left: tokens used before must not be granted again."""
-        self.fleet.store.apply_held()
+        self.fleet.store.apply_delayed_writes()
         for machine in self.fleet.machines:
             machine.cut_off = False
         use_all_tokens(self.fleet)
@@ -716,10 +716,10 @@
 
 def test_request_at_a_supplied_machine_does_not_access_the_store():
     fleet = supplied_fleet()
-    calls = fleet.store.calls
+    calls = fleet.store.call_count
     for _ in range(5):
         assert isinstance(fleet.machines[1].request(100), Success)
-    assert fleet.store.calls == calls
+    assert fleet.store.call_count == calls
 
 
 def test_supplier_with_too_few_tokens_gives_none_and_draws_more():
--- a/whinrack/budgets/tests/test_store_restore.py
+++ b/whinrack/budgets/tests/test_store_restore.py
@@ -37,7 +37,7 @@
 ):
     fleet = busy_fleet(limit=20_000, seconds=3)
     for _ in range(returns):
-        copy = fleet.store.copy()
+        copy = fleet.store.take_snapshot()
         for _ in range(lost_seconds):
             run_second(fleet)
         if clears:
@@ -58,7 +58,7 @@
 @pytest.mark.parametrize("clears", [False, True])
 def test_tokens_of_a_machine_cut_off_during_a_restore_are_not_granted_again(clears):
     fleet = busy_fleet(limit=20_000, seconds=3)
-    copy = fleet.store.copy()
+    copy = fleet.store.take_snapshot()
     for _ in range(3):
         run_second(fleet)
     fleet.machines[0].cut_off = True
@@ -75,7 +75,7 @@
 @pytest.mark.parametrize("clears", [False, True])
 def test_run_that_ended_before_reporting_again_is_not_released_by_its_restored_row(clears):
     fleet = busy_fleet(limit=20_000, seconds=3)
-    copy = fleet.store.copy()
+    copy = fleet.store.take_snapshot()
     for _ in range(3):
         run_second(fleet)
     fleet.machines[0].crash()
@@ -89,7 +89,7 @@
 
 def test_restored_account_grants_nothing_until_holders_had_time_to_report():
     fleet = busy_fleet(limit=20_000, seconds=3)
-    copy = fleet.store.copy()
+    copy = fleet.store.take_snapshot()
     run_second(fleet)
     restore_store(fleet, copy)
     drawn = {name: row.drawn for name, row in fleet.entry().rows.items()}
@@ -126,12 +126,12 @@
     def __init__(self):
         super().__init__()
         self.fleet = busy_fleet(limit=40_000, seconds=6)
-        self.copies = [self.fleet.store.copy()]
+        self.copies = [self.fleet.store.take_snapshot()]
 
     @rule()
     def pass_a_second(self):
         run_second(self.fleet)
-        self.copies = [*self.copies, self.fleet.store.copy()][-_BOUND_SECONDS:]
+        self.copies = [*self.copies, self.fleet.store.take_snapshot()][-_BOUND_SECONDS:]
 
     @rule(index=st.integers(0, 2), tokens=st.sampled_from([37, 300, 2000]))
     def use_much(self, index, tokens):
@@ -145,7 +145,7 @@
     def come_back(self, age):
         copy = self.copies[-min(age, len(self.copies))]
         restore_store(self.fleet, copy)
-        self.copies = [self.fleet.store.copy()]
+        self.copies = [self.fleet.store.take_snapshot()]
 
     @rule()
     def clear_known_accounts(self):
@@ -161,15 +161,15 @@
 
     @rule(replies=st.integers(1, 3))
     def lose_store_replies(self, replies):
-        self.fleet.store.lose_replies = replies
+        self.fleet.store.replies_to_drop = replies
 
     @rule(writes=st.integers(1, 3))
     def hold_writes(self, writes):
-        self.fleet.store.hold_writes = writes
+        self.fleet.store.writes_to_delay = writes
 
     @rule()
     def apply_held_writes(self):
-        self.fleet.store.apply_held()
+        self.fleet.store.apply_delayed_writes()
 
     @rule(replies=st.integers(1, 3))
     def lose_peer_replies(self, replies):
@@ -181,7 +181,7 @@
 
     def teardown(self):
         """Heal everything and use what is left: tokens used before must not be granted again."""
-        self.fleet.store.apply_held()
+        self.fleet.store.apply_delayed_writes()
         for machine in self.fleet.machines:
             machine.cut_off = False
         use_all_tokens(self.fleet)
@@ -196,7 +196,7 @@
 
 def test_late_write_of_an_earlier_era_does_not_undo_later_writes():
     fleet = busy_fleet(limit=20_000, seconds=3)
-    copy = fleet.store.copy()
+    copy = fleet.store.take_snapshot()
     late = fleet.store.objects[ACCOUNT_KIND, "a"]
     run_second(fleet)
     restore_store(fleet, copy)
--- a/whinrack/edge/tests/test_kind_follower.py
+++ b/whinrack/edge/tests/test_kind_follower.py
@@ -82,7 +82,7 @@
 def test_only_the_probing_follower_retries_an_unavailable_store():
     class DownStore(MemoryStore):
         def list(self, kinds):
-            self.calls += 1
+            self.call_count += 1
             return Failure(PlatformUnavailable("down"))
 
     availability = StoreAvailability(lambda is_available: None)
@@ -91,11 +91,11 @@
         eventlet.spawn(make_follower(prober, [], True, availability).run),
         eventlet.spawn(make_follower(waiter, [], False, availability).run),
     ]
-    while prober.calls < 5:
+    while prober.call_count < 5:
         eventlet.sleep(0.01)
     for thread in threads:
         thread.kill()
-    assert waiter.calls == 1
+    assert waiter.call_count == 1
 
 
 def test_a_probe_of_an_unavailable_store_returns_at_once():
@@ -249,11 +249,11 @@
 def test_changes_in_quick_succession_share_a_watch():
     """Twenty changes within 0.4 s cause few calls."""
     store, seen = MemoryStore(), []
-    store.calls = 0
+    store.call_count = 0
     follower = make_follower(store, seen)
     thread = eventlet.spawn(follower.run)
     eventlet.sleep(0.05)
-    before = store.calls
+    before = store.call_count
     for number in range(20):
         store.put("k", f"n{number}", b"1", 0)
         eventlet.sleep(0.02)
@@ -261,7 +261,7 @@
     thread.kill()
     changed = [name for what, names in seen if what == "changed" for name in names]
     assert sorted(changed) == sorted(f"n{number}" for number in range(20))
-    assert store.calls - before - 20 <= 9
+    assert store.call_count - before - 20 <= 9
 
 
 class LaggingPeer(MemoryStore):
--- a/whinrack/edge/tests/test_suspects.py
+++ b/whinrack/edge/tests/test_suspects.py
@@ -156,11 +156,11 @@
 
 
 def test_single_ends_cause_no_store_calls(network, store, tasks):
-    calls = store.calls
+    calls = store.call_count
     for number in range(64):
         target_ended(network, "m0", "a", RequestSignature(f"f{number}", "w", "r"))
     eventlet.sleep(0.3)
-    assert store.calls == calls
+    assert store.call_count == calls
 
 
 def test_a_failed_write_is_retried(network, store, tasks):
--- a/whinrack/journal/tests/test_journal.py
+++ b/whinrack/journal/tests/test_journal.py
@@ -56,7 +56,7 @@
     writer = JournalWriter(store, "r.1", seed=1, sleep=lambda seconds: None)
     for number in range(600):
         writer.add(record(f"w/{number}"))
-        store.lose_replies = number % 3 == 0
+        store.replies_to_drop = number % 3 == 0
         store.down = number % 7 == 0
         writer.commit()
     store.down = False
--- a/whinrack/quarantine/tests/test_case_store.py
+++ b/whinrack/quarantine/tests/test_case_store.py
@@ -50,7 +50,7 @@
 
 
 def test_write_with_a_lost_reply_is_repeated(store, case_stores):
-    store.lose_replies = 1
+    store.replies_to_drop = 1
     assert isinstance(case_stores[0].write([case()]), Success)
 
 
@@ -94,7 +94,7 @@
 def test_trial_is_not_run_if_the_reply_of_its_claim_is_lost(store, case_stores, clock):
     case_stores[0].write([case()])
     clock[0] += 31.0
-    store.lose_replies = 1
+    store.replies_to_drop = 1
     assert case_stores[0].claim_trial(case()) == Success(False)
     assert case_stores[1].claim_trial(case()) == Success(False)
 
--- a/whinrack/quarantine/tests/test_quarantine.py
+++ b/whinrack/quarantine/tests/test_quarantine.py
@@ -200,18 +200,18 @@
     for target in "abc":
         fleet.end(0, target, DEADLY)
     fleet.clock[0] += 60.0
-    calls = fleet.store.calls
+    calls = fleet.store.call_count
     for instance in fleet.all:
         instance.store_answers = False
     assert fleet.admits() == [False] * 4
-    assert fleet.store.calls == calls
+    assert fleet.store.call_count == calls
 
 
 def test_trial_with_a_lost_reply_of_its_claim_is_not_admitted(fleet):
     for target in "abc":
         fleet.end(0, target, DEADLY)
     fleet.clock[0] += 60.0
-    fleet.store.lose_replies = 1
+    fleet.store.replies_to_drop = 1
     assert fleet.admits() == [False] * 4
 
 
--- a/whinrack/requests/tests/test_requests.py
+++ b/whinrack/requests/tests/test_requests.py
@@ -129,7 +129,7 @@
         identity = RequestIdentity.from_header("w", "k")
         verdicts = []
         for holder, replies in zip(("a.1", "b.1"), lost, strict=True):
-            store.lose_replies = replies
+            store.replies_to_drop = replies
             claims = ClaimStore(store, holder, seed=1, sleep=lambda seconds: None)
             verdicts.append(evaluate_claim(claims.claim(identity, DIGEST), holder, DIGEST).unwrap())
         assert verdicts == [ClaimStatus.HELD, ClaimStatus.HELD_ELSEWHERE]
--- a/whinrack/store/tests/test_store.py
+++ b/whinrack/store/tests/test_store.py
@@ -46,14 +46,14 @@
 
 def test_change_with_a_lost_reply_is_applied_once():
     store = MemoryStore()
-    store.lose_replies = 1
+    store.replies_to_drop = 1
     assert editor(store).apply("m", add("one")).unwrap().marks == {"one": 1}
     assert store.revision == 1
 
 
 def test_change_with_a_lost_request_is_repeated():
     store = MemoryStore()
-    store.lose_writes = 2
+    store.writes_to_drop = 2
     assert editor(store).apply("m", add("one")).unwrap().marks == {"one": 1}
 
 
@@ -61,7 +61,7 @@
     store = MemoryStore()
 
     def go_down():
-        store.lose_replies = 1
+        store.replies_to_drop = 1
         store.get = lambda kind, name: Failure(PlatformUnavailable("down"))
 
     store.before_write = go_down
@@ -98,9 +98,9 @@
     store = MemoryStore()
     marks_editor = editor(store)
     marks_editor.apply("m", add("one"))
-    before = store.calls
+    before = store.call_count
     marks_editor.apply("m", add("two"))
-    assert store.calls == before + 1
+    assert store.call_count == before + 1
 
 
 def test_refused_connection_is_not_a_lost_write():
