--- a/standins/engine.py
+++ b/standins/engine.py
@@ -35,7 +35,7 @@
         self.cancelled = False
         self.done = False
 
-    def word(self, index):
+    def word_at(self, index):
         """Return the output word at an index."""
         return f"{self.words[index % len(self.words)]}-{index} "
 
@@ -80,15 +80,15 @@
             FAULTS.update(json.loads(read_body(environ)))
             return respond(start_response, 200, FAULTS)
         if path == "/starts":
-            return respond(start_response, 200, [_row(stream) for stream in STARTS])
+            return respond(start_response, 200, [_describe_stream(stream) for stream in STARTS])
         if path.startswith("/v1/streams/"):
-            return _stream_order(path.split("/")[3:], environ, start_response)
+            return _handle_stream_request(path.split("/")[3:], environ, start_response)
         raise Reply(404)
     except Reply as reply:
         return respond(start_response, reply.status, reply.value, reply.headers)
 
 
-def _row(stream):
+def _describe_stream(stream):
     return {
         "id": stream.stream_id,
         "tokens": stream.prompt_tokens + stream.generated,
@@ -99,7 +99,7 @@
     }
 
 
-def _stream_order(parts, environ, start_response):
+def _handle_stream_request(parts, environ, start_response):
     stream = STREAMS.get(parts[0])
     if stream is None:
         raise Reply(404)
@@ -110,7 +110,9 @@
         raise Reply(404)
     query = parse_qs(environ.get("QUERY_STRING", ""))
     start_response("200 OK", [("Content-Type", "text/event-stream")])
-    return _events(stream, {"stream_options": {"include_usage": True}}, int(query["skip"][0]))
+    return _stream_events(
+        stream, {"stream_options": {"include_usage": True}}, int(query["skip"][0])
+    )
 
 
 def _chat(environ, start_response):
@@ -118,16 +120,16 @@
     if FAULTS["busy"]:
         fields = [("Retry-After", FAULTS["rest"])] if FAULTS["rest"] else []
         raise Reply(503, {"error": {"message": "busy", "code": "not_started"}}, fields)
-    stream = _start(environ, request)
+    stream = _start_stream(environ, request)
     if request.get("stream"):
         start_response("200 OK", [("Content-Type", "text/event-stream")])
-        return _events(stream, request, 0)
+        return _stream_events(stream, request, 0)
     text = "".join(_generate(stream))
     if FAULTS["cut_after"] >= 0:
         start_response("200 OK", [("Content-Length", "5000")])
-        return _cut_body()
+        return _truncated_body()
     value = {
-        "id": _answer_id(stream),
+        "id": _response_id(stream),
         "object": "chat.completion",
         "created": 0,
         "model": request.get("model", ""),
@@ -143,12 +145,12 @@
     return respond(start_response, 200, value)
 
 
-def _cut_body():
+def _truncated_body():
     yield b'{"id": "cut'
     raise ConnectionResetError("cut by fault")
 
 
-def _start(environ, request):
+def _start_stream(environ, request):
     stream_id = environ.get("HTTP_X_REQUEST_ID", "none")
     prompt = " ".join(str(message.get("content", "")) for message in request["messages"])
     headers = {key: value for key, value in environ.items() if key.startswith("HTTP_X_")}
@@ -158,7 +160,7 @@
     return stream
 
 
-def _answer_id(stream):
+def _response_id(stream):
     return "chatcmpl-other" if FAULTS["foreign_id"] else f"chatcmpl-{stream.stream_id}"
 
 
@@ -176,35 +178,37 @@
             if index >= stream.generated:
                 stream.generated = index + 1
                 eventlet.sleep(FAULTS["token_delay"])
-            yield stream.word(index)
+            yield stream.word_at(index)
             index += 1
         stream.done = True
     finally:
         RUNNING.discard(stream.stream_id)
 
 
-def _events(stream, request, start):
+def _stream_events(stream, request, start):
     """Yield the events from an index on; a hang-up stops the generation until resumed."""
-    include = (request.get("stream_options") or {}).get("include_usage")
+    include_usage = (request.get("stream_options") or {}).get("include_usage")
     for count, word in enumerate(_generate(stream, start)):
         if count == FAULTS["cut_after"]:
             # A close in mid-answer: the chunked body never ends properly.
             raise ConnectionResetError("cut by fault")
-        event = _event(stream, [{"index": 0, "delta": {"content": word}, "finish_reason": None}])
+        event = _encode_event(
+            stream, [{"index": 0, "delta": {"content": word}, "finish_reason": None}]
+        )
         yield event
         if FAULTS["duplicate"]:
             yield event
     if stream.cancelled:
         return
-    yield _event(stream, [{"index": 0, "delta": {}, "finish_reason": "length"}])
-    if include and not FAULTS["silent_usage"]:
-        yield _event(stream, [], stream.usage())
+    yield _encode_event(stream, [{"index": 0, "delta": {}, "finish_reason": "length"}])
+    if include_usage and not FAULTS["silent_usage"]:
+        yield _encode_event(stream, [], stream.usage())
     yield b"data: [DONE]\n\n"
 
 
-def _event(stream, choices, usage=None):
+def _encode_event(stream, choices, usage=None):
     value = {
-        "id": _answer_id(stream),
+        "id": _response_id(stream),
         "object": "chat.completion.chunk",
         "created": 0,
         "model": "m",
--- a/standins/fleet.py
+++ b/standins/fleet.py
@@ -19,7 +19,7 @@
 ROOT = pathlib.Path(__file__).resolve().parent.parent
 FLEET_KEY = "fleet-key-of-the-local-fleet"
 _START_TIMEOUT = 20.0
-_HTTP = urllib3.PoolManager(retries=False, maxsize=64)
+_HTTP_POOL = urllib3.PoolManager(retries=False, maxsize=64)
 
 
 def wait_until(condition, timeout=10.0, description="the condition"):
@@ -58,7 +58,7 @@
         """Send one HTTP request; a value goes as JSON."""
         body = None if value is None else json.dumps(value).encode()
         url = f"http://{self.address}{path}"
-        return _HTTP.request(method, url, body=body, headers=headers, timeout=timeout)
+        return _HTTP_POOL.request(method, url, body=body, headers=headers, timeout=timeout)
 
     def json(self, method, path, value=None, headers=None):
         """Send one HTTP request and decode its JSON answer."""
@@ -134,17 +134,17 @@
 
     def start_platform(self):
         """Start the stand-in platform."""
-        self.platform = self._standin("platform", "standins.platform")
+        self.platform = self._start_standin("platform", "standins.platform")
         return self.platform
 
     def start_engine(self, name, *options):
         """Start a stand-in engine; it isn't declared by that."""
-        self.targets[name] = self._standin(name, "standins.engine", *options)
+        self.targets[name] = self._start_standin(name, "standins.engine", *options)
         return self.targets[name]
 
     def start_service(self, name):
         """Start a stand-in plain service."""
-        self.targets[name] = self._standin(name, "standins.service")
+        self.targets[name] = self._start_standin(name, "standins.service")
         return self.targets[name]
 
     def start_routers(self, count=None):
@@ -204,7 +204,7 @@
         path.write_text("\n".join(lines) + "\n")
         return path
 
-    def _standin(self, name, module, *options):
+    def _start_standin(self, name, module, *options):
         command = [sys.executable, "-m", module, *options]
         process = Process(name, command, log=self.folder / f"{name}.log")
         self.processes.append(process)
--- a/standins/memory_store.py
+++ b/standins/memory_store.py
@@ -40,7 +40,7 @@
         self.replies_to_drop = 0
         self.writes_to_drop = 0
         self.writes_to_delay = 0
-        self._held: list[tuple[str, str, bytes, int]] = []
+        self._delayed_writes: list[tuple[str, str, bytes, int]] = []
         self.call_count = 0
         self.before_write = None
 
@@ -74,7 +74,7 @@
             return Failure(WriteUnknown(name))
         if self.writes_to_delay > 0:
             self.writes_to_delay -= 1
-            self._held.append((kind, name, value, version))
+            self._delayed_writes.append((kind, name, value, version))
             return Failure(WriteUnknown(name))
         return self._write(kind, name, value, version)
 
@@ -96,7 +96,7 @@
 
     def apply_delayed_writes(self):
         """Apply the writes that were held back, as far as their condition still holds."""
-        held, self._held = self._held, []
+        held, self._delayed_writes = self._delayed_writes, []
         for write in held:
             self._write(*write)
 
--- a/standins/platform.py
+++ b/standins/platform.py
@@ -19,7 +19,7 @@
 
 eventlet.monkey_patch()
 
-_HISTORY = 5000
+_MAX_HISTORY = 5000
 
 
 class PlatformState:
@@ -47,13 +47,13 @@
     def record(self, entry: dict) -> None:
         """Append a change and wake the watches."""
         self.history.append((time.monotonic(), entry))
-        del self.history[:-_HISTORY]
+        del self.history[:-_MAX_HISTORY]
         event, self._changed = self._changed, Event()
         event.send(None)
 
     def put(self, kind, name, value, version):
         """Write conditionally."""
-        self._check(kind, name, version)
+        self._check_version(kind, name, version)
         self.revision += 1
         entry = {"kind": kind, "name": name, "version": self.revision, "value": value}
         self.objects[kind, name] = entry
@@ -62,13 +62,13 @@
 
     def delete(self, kind, name, version):
         """Delete conditionally."""
-        self._check(kind, name, version)
+        self._check_version(kind, name, version)
         self.objects.pop((kind, name), None)
         self.revision += 1
         entry = {"kind": kind, "name": name, "version": self.revision, "deleted": True}
         self.record(entry)
 
-    def _check(self, kind, name, version):
+    def _check_version(self, kind, name, version):
         current = self.objects.get((kind, name))
         at = 0 if current is None else current["version"]
         if version != at:
@@ -78,31 +78,31 @@
         """Wait for changes after a revision."""
         end = time.monotonic() + wait
         while True:
-            batch = self._batch(kinds, since)
-            left = end - time.monotonic()
-            if batch["objects"] or batch["gap"] or left <= 0 or self.faults["down"]:
+            batch = self._build_batch(kinds, since)
+            remaining = end - time.monotonic()
+            if batch["objects"] or batch["gap"] or remaining <= 0 or self.faults["down"]:
                 return batch
             lag = self.faults["watch_lag"]
-            with eventlet.Timeout(min(left, 0.05 if lag else left), False):
+            with eventlet.Timeout(min(remaining, 0.05 if lag else remaining), False):
                 self._changed.wait()
 
-    def _batch(self, kinds, since):
-        visible = time.monotonic() - self.faults["watch_lag"]
+    def _build_batch(self, kinds, since):
+        visible_until = time.monotonic() - self.faults["watch_lag"]
         oldest = self.history[0][1]["version"] if self.history else 1
-        seen = [entry for at, entry in self.history if at <= visible]
-        revision = max([since, *(entry["version"] for entry in seen)])
+        visible_entries = [entry for at, entry in self.history if at <= visible_until]
+        revision = max([since, *(entry["version"] for entry in visible_entries)])
         return {
             "revision": revision,
             "gap": since + 1 < oldest or since > self.revision,
-            "objects": [e for e in seen if e["version"] > since and e["kind"] in kinds],
+            "objects": [e for e in visible_entries if e["version"] > since and e["kind"] in kinds],
         }
 
     def list_instances(self):
         """Return the list as it was `list_lag` seconds ago."""
-        visible = time.monotonic() - self.faults["list_lag"]
+        visible_until = time.monotonic() - self.faults["list_lag"]
         rows = []
         for states in self.instances.values():
-            shown = [record for at, record in states if at <= visible]
+            shown = [record for at, record in states if at <= visible_until]
             if shown and shown[-1] is not None:
                 rows.append(shown[-1])
         return rows
@@ -131,12 +131,12 @@
         if STATE.faults["down"]:
             raise Reply(503)
         eventlet.sleep(STATE.faults["delay"])
-        return respond(start_response, 200, _serve(method, path, environ, body))
+        return respond(start_response, 200, _handle_call(method, path, environ, body))
     except Reply as reply:
         return respond(start_response, reply.status, reply.value)
 
 
-def _serve(method, path, environ, body):
+def _handle_call(method, path, environ, body):
     query = {key: values[0] for key, values in parse_qs(environ.get("QUERY_STRING", "")).items()}
     kinds = query.get("kinds", "").split(",")
     if path == "/v1/instances":
@@ -155,10 +155,10 @@
         if (kind, name) not in STATE.objects:
             raise Reply(404)
         return STATE.objects[kind, name]
-    return _write(method, kind, name, body, int(environ["HTTP_IF_MATCH"]))
+    return _handle_write(method, kind, name, body, int(environ["HTTP_IF_MATCH"]))
 
 
-def _write(method, kind, name, body, version):
+def _handle_write(method, kind, name, body, version):
     STATE.count("write")
     STATE.count(f"write {kind}")
     if method == "PUT":
--- a/standins/ports.py
+++ b/standins/ports.py
@@ -16,10 +16,10 @@
 
 # Below the ports that the system gives to connections (from 32,768 on, unless set otherwise).
 _FIRST, _LAST = 12_000, 31_000
-_KINDS = (socket.SOCK_STREAM, socket.SOCK_DGRAM)
-_LOCKS = pathlib.Path(tempfile.gettempdir()) / "whinrack-ports"
+_SOCKET_KINDS = (socket.SOCK_STREAM, socket.SOCK_DGRAM)
+_LOCK_FOLDER = pathlib.Path(tempfile.gettempdir()) / "whinrack-ports"
 # Open files whose locks hold the reservations of this process.
-_reserved: dict[int, object] = {}
+_open_lock_files: dict[int, object] = {}
 
 
 def reserve_port() -> int:
@@ -38,37 +38,37 @@
 
 def _reserve(ports: range) -> bool:
     """Reserve all of the ports, or none."""
-    taken = []
+    locked = []
     for port in ports:
-        if not (_lock(port) and _is_free(port)):
-            _unlock(taken)
+        if not (_lock_port(port) and _is_free(port)):
+            _unlock(locked)
             return False
-        taken.append(port)
+        locked.append(port)
     return True
 
 
-def _lock(port: int) -> bool:
-    if port in _reserved:
+def _lock_port(port: int) -> bool:
+    if port in _open_lock_files:
         return False
-    _LOCKS.mkdir(exist_ok=True)
-    file = (_LOCKS / str(port)).open("wb")
+    _LOCK_FOLDER.mkdir(exist_ok=True)
+    file = (_LOCK_FOLDER / str(port)).open("wb")
     try:
         fcntl.flock(file, fcntl.LOCK_EX | fcntl.LOCK_NB)
     except BlockingIOError:
         file.close()
         return False
-    _reserved[port] = file
+    _open_lock_files[port] = file
     return True
 
 
 def _unlock(ports: list[int]) -> None:
     for port in ports:
-        _reserved.pop(port).close()
+        _open_lock_files.pop(port).close()
 
 
 def _is_free(port: int) -> bool:
     """Whether nothing listens on a port, at any address."""
-    for kind in _KINDS:
+    for kind in _SOCKET_KINDS:
         with socket.socket(socket.AF_INET, kind) as sock:
             try:
                 sock.bind(("", port))
