--- a/standins/_wsgi.py
+++ b/standins/_wsgi.py
@@ -1,4 +1,4 @@
-"""What the stand-ins share: a tiny JSON application over eventlet's WSGI runner."""
+"""JSON over WSGI helpers that the stand-ins share, based on eventlet."""
 
 import json
 import os
@@ -12,7 +12,7 @@
 
 
 class Reply(Exception):
-    """Ends a request with a status and a JSON value."""
+    """Exception that ends a request with a status and a JSON value."""
 
     def __init__(self, status: int, value=None, headers=()):
         super().__init__(status)
@@ -27,7 +27,7 @@
 
 
 def respond(start_response, status: int, value=None, headers=()):
-    """Answer with a JSON value."""
+    """Send a JSON value as the response."""
     body = b"" if value is None else json.dumps(value).encode()
     fields = [("Content-Type", "application/json"), ("Content-Length", str(len(body)))]
     start_response(f"{status} Status", [*fields, *headers])
--- a/standins/engine.py
+++ b/standins/engine.py
@@ -1,12 +1,13 @@
 """Stand-in for a model engine: OpenAI-like chat, load reports, cancel and resume.
 
-A prompt counts one token a whitespace-separated word, the answer is `max_tokens`
-words that follow from the prompt alone. Starts are recorded with the tokens that were
-really generated: ``GET /starts``. Faults are set by ``PUT /faults``:
-``token_delay``, ``first_delay``, ``cut_after`` (tokens, -1: never), ``foreign_id``,
-``busy`` (answer 503), ``rest`` (Retry-After of that answer), ``leaving`` (in load
-reports), ``overrun`` (tokens beyond max_tokens), ``duplicate`` (send each event twice),
-``silent_usage`` (no usage at the end), ``stop_at`` (end after so many).
+A prompt counts one token per whitespace-separated word. The response has `max_tokens` words,
+which are determined by the prompt alone. ``GET /starts`` lists the started generations with the
+tokens that were actually generated. Faults are set by ``PUT /faults``: ``token_delay``,
+``first_delay`` (seconds), ``cut_after`` (tokens until the connection is closed, -1: never),
+``foreign_id`` (respond with the id of another request), ``busy`` (respond with 503), ``rest``
+(Retry-After of that response), ``leaving`` (in load reports), ``overrun`` (tokens beyond
+`max_tokens`), ``duplicate`` (send each event twice), ``silent_usage`` (no usage at the end),
+``stop_at`` (tokens after which the generation ends, -1: never).
 """
 
 import argparse
@@ -23,7 +24,7 @@
 
 
 class EngineStream:
-    """One generation, which outlives the connection that started it."""
+    """One generation, which is kept after the connection that started it is closed."""
 
     def __init__(self, stream_id, prompt, limit, headers):
         self.stream_id = stream_id
@@ -36,11 +37,11 @@
         self.done = False
 
     def word_at(self, index):
-        """Return the output word at an index."""
+        """Return the output word at the given index."""
         return f"{self.words[index % len(self.words)]}-{index} "
 
     def usage(self):
-        """Return the usage so far."""
+        """Return the token usage so far."""
         return {
             "prompt_tokens": self.prompt_tokens,
             "completion_tokens": self.generated,
@@ -67,7 +68,7 @@
 
 
 def application(environ, start_response):
-    """Serve one call."""
+    """Handle one request (WSGI application)."""
     path = environ["PATH_INFO"]
     try:
         if path == "/v1/chat/completions":
@@ -165,7 +166,7 @@
 
 
 def _generate(stream, start=0):
-    """Yield the words from an index on; what was generated before comes at once."""
+    """Yield the words from index `start` on; words generated earlier are yielded without delay."""
     RUNNING.add(stream.stream_id)
     limit = stream.limit + FAULTS["overrun"]
     if FAULTS["stop_at"] >= 0:
@@ -186,11 +187,14 @@
 
 
 def _stream_events(stream, request, start):
-    """Yield the events from an index on; a hang-up stops the generation until resumed."""
+    """Yield the events from index `start` on.
+
+    If the client disconnects, the generation stops until the stream is resumed.
+    """
     include_usage = (request.get("stream_options") or {}).get("include_usage")
     for count, word in enumerate(_generate(stream, start)):
         if count == FAULTS["cut_after"]:
-            # A close in mid-answer: the chunked body never ends properly.
+            # Closes the connection before the final chunk, so the body stays incomplete.
             raise ConnectionResetError("cut by fault")
         event = _encode_event(
             stream, [{"index": 0, "delta": {"content": word}, "finish_reason": None}]
--- a/standins/fleet.py
+++ b/standins/fleet.py
@@ -1,4 +1,4 @@
-"""A whole fleet on this machine, as separate processes, for the demo, tests and benchmarks."""
+"""Fleet of local processes for the demo, tests and benchmarks."""
 
 import contextlib
 import json
@@ -23,7 +23,10 @@
 
 
 def wait_until(condition, timeout=10.0, description="the condition"):
-    """Poll until a condition holds and return its value."""
+    """Poll until a condition is true and return its value.
+
+    Raises TimeoutError, with `description` in its message, after `timeout` seconds.
+    """
     end = time.monotonic() + timeout
     while True:
         value = condition()
@@ -35,7 +38,7 @@
 
 
 class Process:
-    """One process of the fleet with an HTTP address."""
+    """Process of the fleet with an HTTP address."""
 
     def __init__(self, name, command, address=None, log=None):
         self.name = name
@@ -55,60 +58,60 @@
         return f"127.0.0.1:{line.split()[1]}"
 
     def call(self, method, path, value=None, headers=None, timeout=30.0):
-        """Send one HTTP request; a value goes as JSON."""
+        """Send one HTTP request, with `value` as its JSON body."""
         body = None if value is None else json.dumps(value).encode()
         url = f"http://{self.address}{path}"
         return _HTTP_POOL.request(method, url, body=body, headers=headers, timeout=timeout)
 
     def json(self, method, path, value=None, headers=None):
-        """Send one HTTP request and decode its JSON answer."""
+        """Send one HTTP request and decode the JSON response."""
         return json.loads(self.call(method, path, value, headers).data)
 
     def set_faults(self, **faults):
-        """Set faults of a stand-in."""
+        """Set faults of a stand-in and return all of its faults."""
         return self.json("PUT", "/faults", faults)
 
     def list_starts(self):
-        """Return what an engine or service started."""
+        """Return the requests that an engine or service has started."""
         return self.json("GET", "/starts")
 
     def signal(self, number):
-        """Send a signal."""
+        """Send a signal to the process."""
         self.popen.send_signal(number)
 
     def kill(self):
-        """End the process without warning."""
+        """Kill the process with SIGKILL and wait for its end."""
         self.popen.kill()
         self.popen.wait()
 
     def pause(self):
-        """Pause the process; it doesn't notice."""
+        """Pause the process with SIGSTOP, which it cannot detect."""
         self.signal(signal.SIGSTOP)
 
     def resume(self):
-        """Let a paused process go on."""
+        """Resume a paused process."""
         self.signal(signal.SIGCONT)
 
     def stop(self, timeout=30.0):
-        """Stop the process as planned and return its exit code."""
+        """Stop the process gracefully with SIGTERM and return its exit code."""
         self.popen.send_signal(signal.SIGTERM)
         return self.popen.wait(timeout)
 
     @property
     def is_running(self):
-        """Whether the process lives."""
+        """Check whether the process is running."""
         return self.popen.poll() is None
 
 
 class LocalFleet:
-    """Starts stand-ins and routers and stops them all at the end.
+    """Context manager that starts stand-ins and routers and kills them all on exit.
 
     Parameters
     ----------
     halls : sequence of (region, hall)
-        Where the routers are, one after the other.
+        Regions and data halls, assigned to the routers in turn.
     settings : dict of str to dict
-        Settings beyond the defaults, by section.
+        Router settings that override the defaults, by section.
     """
 
     def __init__(self, halls=(("south", "a"), ("south", "b"), ("south", "c")), settings=None):
@@ -138,17 +141,17 @@
         return self.platform
 
     def start_engine(self, name, *options):
-        """Start a stand-in engine; it isn't declared by that."""
+        """Start a stand-in engine without declaring it as a target."""
         self.targets[name] = self._start_standin(name, "standins.engine", *options)
         return self.targets[name]
 
     def start_service(self, name):
-        """Start a stand-in plain service."""
+        """Start a stand-in for a plain service without declaring it as a target."""
         self.targets[name] = self._start_standin(name, "standins.service")
         return self.targets[name]
 
     def start_routers(self, count=None):
-        """Start routers and wait until they serve and see each other."""
+        """Start routers and wait until they are ready and know each other."""
         count = len(self.halls) if count is None else count
         names = [f"router-{index + 1}" for index in range(count)]
         started = [self.start_router(name, wait=False) for name in names]
@@ -158,7 +161,7 @@
         return started
 
     def start_router(self, name, peer_port=None, wait=True, **overrides):
-        """Start one router; a name used before gives a new incarnation."""
+        """Start one router; reusing a name starts a new incarnation."""
         region, hall = self.halls[len(self.routers) % len(self.halls)]
         http, peer = reserve_port(), peer_port or reserve_port()
         path = self.write_settings(name, region, hall, http, peer, overrides)
@@ -178,10 +181,10 @@
 
     def wait_until_ready(self, router):
         """Wait until a router is ready."""
-        wait_until(lambda: self.is_ready(router), _START_TIMEOUT, f"{router.name} to serve")
+        wait_until(lambda: self.is_ready(router), _START_TIMEOUT, f"{router.name} to be ready")
 
     def write_settings(self, name, region, hall, http, peer, overrides):
-        """Write a router's settings file."""
+        """Write the settings file of a router and return its path."""
         sections = {
             "instance": {"name": name, "region": region, "data_hall": hall},
             "http": {"address": f"127.0.0.1:{http}"},
@@ -210,10 +213,10 @@
         self.processes.append(process)
         return process
 
-    # --- the platform's list ---------------------------------------------------------
+    # --- instance list -------------------------------------------------------------
 
     def register_router(self, router, state, region="south", hall="a"):
-        """Put a router on the instance list."""
+        """Add a router to the instance list of the platform, or update it."""
         record = {
             "name": router.name,
             "role": "router",
@@ -226,21 +229,24 @@
         self.platform.call("PUT", f"/v1/instances/{router.name}", record)
 
     def register_target_instance(self, instance, state):
-        """Put a target's instance on the instance list."""
+        """Add the instance of a target to the instance list, or update it."""
         record = {"name": instance, "role": "target", "state": state}
         self.platform.call("PUT", f"/v1/instances/{instance}", record)
 
     # --- objects and state -----------------------------------------------------------
 
     def put_object(self, kind, name, spec):
-        """Write an object as it is, whatever its version."""
+        """Write an object unconditionally, using its current version."""
         path = f"/v1/objects/{kind}/{name}"
         found = self.platform.call("GET", path)
         version = json.loads(found.data)["version"] if found.status == 200 else 0
         return self.platform.call("PUT", path, spec, {"If-Match": str(version)})
 
     def run_cli(self, *arguments, check=True):
-        """Run the command line."""
+        """Run a command of the whinrack CLI.
+
+        Raises RuntimeError if it fails and `check` is true.
+        """
         environment = _environment()
         environment["WHINRACK_PLATFORM"] = self.platform.address
         environment["WHINRACK_FLEET_KEY"] = FLEET_KEY
@@ -256,11 +262,11 @@
         return result
 
     def status(self, router):
-        """Return a router's own word on its state."""
+        """Return the status that a router reports about itself."""
         return router.json("GET", "/v1/status", headers={"Whinrack-Fleet-Key": FLEET_KEY})
 
     def is_ready(self, router):
-        """Whether a router is ready; raises if it has ended."""
+        """Check whether a router is ready; raise RuntimeError if its process has ended."""
         if not router.is_running:
             raise RuntimeError(f"{router.name} ended: {(router.log).read_text()[-2000:]}")
         with contextlib.suppress(urllib3.exceptions.HTTPError):
@@ -268,27 +274,27 @@
         return False
 
     def wait_for_members(self):
-        """Wait until all running routers see each other."""
+        """Wait until all running routers know each other."""
         running = [router for router in self.routers if router.is_running]
         for router in running:
             wait_until(
                 lambda router=router: len(self.status(router)["members"]) >= len(running) - 1,
-                description=f"{router.name} to see its peers",
+                description=f"{router.name} to know its peers",
             )
 
     def wait_for_config(self, routers=None):
-        """Wait until the newest stored configuration is in force at the routers."""
+        """Wait until the routers have applied the newest stored configuration."""
         kinds = "Workspace,Budget,TargetPool,Target,RoutingPolicy,ApiKey"
         stored = self.platform.json("GET", f"/v1/objects?kinds={kinds}")["objects"]
         newest = max(item["version"] for item in stored)
         for router in routers or [router for router in self.routers if router.is_running]:
             wait_until(
                 lambda router=router: self.status(router)["newest"] >= newest,
-                description=f"{router.name} to be up to date",
+                description=f"{router.name} to apply the newest configuration",
             )
 
     def nonzero_metrics(self, router):
-        """Return a router's metrics that aren't zero, by name and labels."""
+        """Return the nonzero metrics of a router, keyed by name and labels."""
         values = {}
         for line in router.call("GET", "/metrics").data.decode().splitlines():
             if line.startswith("whinrack_") and "_created" not in line:
--- a/standins/memory_store.py
+++ b/standins/memory_store.py
@@ -1,4 +1,4 @@
-"""The platform's object API in memory, with faults, for tests and benchmarks of decisions."""
+"""In-memory object store with fault injection, for tests and benchmarks."""
 
 import msgspec
 from returns.result import Failure, Success
@@ -17,20 +17,23 @@
 
 
 class MemoryStore(ObjectStore):
-    """Objects in a dictionary.
+    """Object store that keeps its objects in a dictionary.
 
     Attributes
     ----------
     down : bool
-        Every call fails.
-    lose_replies : int
-        How many coming writes take effect and then lose their reply.
-    lose_writes : int
-        How many coming writes are lost before they take effect.
-    hold_writes : int
-        How many coming writes are held back; `apply_held` applies them late.
-    calls : int
-        Calls served or refused so far.
+        `get`, `list`, `put` and `instances` fail with PlatformUnavailable.
+    replies_to_drop : int
+        Number of coming writes that take effect but fail with WriteUnknown.
+    writes_to_drop : int
+        Number of coming writes that are lost and fail with WriteUnknown.
+    writes_to_delay : int
+        Number of coming writes that fail with WriteUnknown and take effect only when
+        `apply_delayed_writes` is called.
+    call_count : int
+        Number of calls so far, including failed ones.
+    before_write : callable or None
+        Called once, before the next write.
     """
 
     def __init__(self):
@@ -54,7 +57,7 @@
         return Success(self.objects[kind, name])
 
     def list(self, kinds):
-        """Read all objects of some kinds."""
+        """Read all objects of the given kinds."""
         self.call_count += 1
         if self.down:
             return Failure(PlatformUnavailable("down"))
@@ -62,7 +65,7 @@
         return Success(Snapshot(self.revision, found))
 
     def put(self, kind, name, value, version):
-        """Write conditionally."""
+        """Write an object if `version` is its current version."""
         self.call_count += 1
         if self.down:
             return Failure(PlatformUnavailable("down"))
@@ -79,11 +82,11 @@
         return self._write(kind, name, value, version)
 
     def take_snapshot(self):
-        """Return what `restore` brings back."""
+        """Return a snapshot of the objects for `restore`."""
         return self.revision, dict(self.objects)
 
     def restore(self, snapshot):
-        """Come back from a copy, in the next era."""
+        """Restore the objects from a snapshot and begin the next era."""
         era = self.era.current + 1
         self.era.observe(str(era))
         self.revision = compose_revision(era, revision_number(snapshot[0]))
@@ -95,7 +98,7 @@
         }
 
     def apply_delayed_writes(self):
-        """Apply the writes that were held back, as far as their condition still holds."""
+        """Apply the delayed writes whose version condition still holds."""
         held, self._delayed_writes = self._delayed_writes, []
         for write in held:
             self._write(*write)
@@ -113,7 +116,7 @@
         return Success(stored)
 
     def delete(self, kind, name, version):
-        """Delete conditionally."""
+        """Delete an object if `version` is its current version."""
         self.call_count += 1
         current = self.objects.get((kind, name))
         if version != (0 if current is None else current.version):
@@ -123,12 +126,12 @@
         return Success(None)
 
     def watch(self, kinds, since, wait):
-        """Return changes after a revision, without waiting."""
+        """Return the changes after a revision, without waiting."""
         self.call_count += 1
         changed = tuple(i for i in self.objects.values() if i.version > since and i.kind in kinds)
         return Success(WatchBatch(self.revision, changed))
 
     def instances(self):
-        """Return an empty list."""
+        """Return an empty instance list."""
         self.call_count += 1
         return Failure(PlatformUnavailable("down")) if self.down else Success(())
--- a/standins/platform.py
+++ b/standins/platform.py
@@ -1,9 +1,9 @@
-"""Stand-in for the platform: object API with watches, and a lagging instance list.
+"""Stand-in for the platform: object API with watches, and an instance list that can lag.
 
-Faults are set by ``PUT /faults`` with any of: ``down`` (refuse all), ``delay``
-(seconds before each call), ``lose_replies`` (how many coming writes take effect and
-then lose their reply), ``watch_lag`` and ``list_lag`` (seconds). ``GET /counts`` tells
-the calls served so far. Data is kept in memory only.
+Faults are set by ``PUT /faults`` with any of: ``down`` (respond to all calls with 503), ``delay``
+(seconds before each call), ``lose_replies`` (number of coming writes that take effect but are
+answered with 500), ``watch_lag`` and ``list_lag`` (seconds). ``GET /counts`` returns the number of
+calls by operation. Data is kept in memory only.
 """
 
 import argparse
@@ -23,7 +23,7 @@
 
 
 class PlatformState:
-    """Objects, their history and the faults in force."""
+    """Objects, their change history, the instance list and the active faults."""
 
     def __init__(self):
         self.revision = 0
@@ -41,18 +41,18 @@
         self._changed = Event()
 
     def count(self, operation: str) -> None:
-        """Count one served call."""
+        """Count one call of an operation."""
         self.counts[operation] = self.counts.get(operation, 0) + 1
 
     def record(self, entry: dict) -> None:
-        """Append a change and wake the watches."""
+        """Append a change to the history and wake waiting watches."""
         self.history.append((time.monotonic(), entry))
         del self.history[:-_MAX_HISTORY]
         event, self._changed = self._changed, Event()
         event.send(None)
 
     def put(self, kind, name, value, version):
-        """Write conditionally."""
+        """Write an object if `version` is its current version, else raise Reply with 409."""
         self._check_version(kind, name, version)
         self.revision += 1
         entry = {"kind": kind, "name": name, "version": self.revision, "value": value}
@@ -61,7 +61,7 @@
         return entry
 
     def delete(self, kind, name, version):
-        """Delete conditionally."""
+        """Delete an object if `version` is its current version, else raise Reply with 409."""
         self._check_version(kind, name, version)
         self.objects.pop((kind, name), None)
         self.revision += 1
@@ -75,7 +75,7 @@
             raise Reply(409, current)
 
     def watch(self, kinds, since, wait):
-        """Wait for changes after a revision."""
+        """Return the changes after a revision; wait up to `wait` seconds for the first one."""
         end = time.monotonic() + wait
         while True:
             batch = self._build_batch(kinds, since)
@@ -98,7 +98,7 @@
         }
 
     def list_instances(self):
-        """Return the list as it was `list_lag` seconds ago."""
+        """Return the instance list as it was `list_lag` seconds ago."""
         visible_until = time.monotonic() - self.faults["list_lag"]
         rows = []
         for states in self.instances.values():
@@ -108,7 +108,7 @@
         return rows
 
     def set_instance(self, name, record):
-        """Set or, with None, remove an instance."""
+        """Set the record of an instance; None removes the instance."""
         self.instances.setdefault(name, []).append((time.monotonic(), record))
 
 
@@ -116,7 +116,7 @@
 
 
 def application(environ, start_response):
-    """Serve one call."""
+    """Handle one request (WSGI application)."""
     path, method = environ["PATH_INFO"], environ["REQUEST_METHOD"]
     body = read_body(environ)
     try:
--- a/standins/ports.py
+++ b/standins/ports.py
@@ -1,9 +1,9 @@
-"""Ports for the processes that tests, demo and benchmarks start.
+"""Port reservation for the processes that tests, the demo and benchmarks start.
 
-A port that the system chose for a socket which was closed again may be given to an
-outgoing connection before its new owner listens there. So these ports lie below the range
-that the system gives to connections, and each is reserved by a lock on a file until this
-process ends: neither it nor another run of the tests beside it takes the port twice.
+If the system chooses a port by binding and closing a socket, it may assign the same port to an
+outgoing connection before the new process listens on it. Therefore the ports are chosen below the
+ephemeral port range, and each is reserved by a file lock until this process ends, so that
+neither this process nor a concurrent test run uses a port twice.
 """
 
 import fcntl
@@ -14,21 +14,21 @@
 
 __all__ = ["reserve_port", "reserve_ports"]
 
-# Below the ports that the system gives to connections (from 32,768 on, unless set otherwise).
+# Below the ephemeral port range, which starts at 32,768 by default.
 _FIRST, _LAST = 12_000, 31_000
 _SOCKET_KINDS = (socket.SOCK_STREAM, socket.SOCK_DGRAM)
 _LOCK_FOLDER = pathlib.Path(tempfile.gettempdir()) / "whinrack-ports"
-# Open files whose locks hold the reservations of this process.
+# Open lock files by port; their locks hold the reservations of this process.
 _open_lock_files: dict[int, object] = {}
 
 
 def reserve_port() -> int:
-    """Reserve a port on which nothing listens."""
+    """Reserve one free port."""
     return reserve_ports(1)
 
 
 def reserve_ports(count: int) -> int:
-    """Reserve ports in a row; returns the first of them."""
+    """Reserve consecutive ports and return the first one."""
     while True:
         first = random.randrange(_FIRST, _LAST - count)
         ports = range(first, first + count)
@@ -37,7 +37,7 @@
 
 
 def _reserve(ports: range) -> bool:
-    """Reserve all of the ports, or none."""
+    """Reserve all of the ports, or none; return whether it succeeded."""
     locked = []
     for port in ports:
         if not (_lock_port(port) and _is_free(port)):
@@ -67,7 +67,7 @@
 
 
 def _is_free(port: int) -> bool:
-    """Whether nothing listens on a port, at any address."""
+    """Check whether a port can be bound on all addresses, for TCP and UDP."""
     for kind in _SOCKET_KINDS:
         with socket.socket(socket.AF_INET, kind) as sock:
             try:
--- a/standins/service.py
+++ b/standins/service.py
@@ -1,7 +1,7 @@
-"""Stand-in for a plain service: echoes the request and records every start.
+"""Stand-in for a plain service: echoes each request and records its start.
 
-``GET /starts`` lists the requests that began. ``PUT /faults`` sets ``delay``
-(seconds), ``status`` and ``cut`` (close without an answer after the start).
+``GET /starts`` lists the started requests. ``PUT /faults`` sets ``delay`` (seconds), ``status``
+(of responses) and ``cut`` (close the connection without a response after the start).
 """
 
 import argparse
@@ -21,7 +21,7 @@
 
 
 def application(environ, start_response):
-    """Serve one call."""
+    """Handle one request (WSGI application)."""
     path, body = environ["PATH_INFO"], read_body(environ)
     if path == "/faults":
         FAULTS.update(json.loads(body))
