--- a/tools/generate.py
+++ b/tools/generate.py
@@ -1,4 +1,4 @@
-"""Generate the peer messages and reference pages, or check the committed ones."""
+"""Generate the peer protocol code and reference pages, or check that they are up to date."""
 
 import argparse
 import pathlib
@@ -15,7 +15,10 @@
 
 
 def generate(output: pathlib.Path) -> None:
-    """Run the protocol compiler and write its files below `output`."""
+    """Run protoc and write the generated files below `output`.
+
+    Raises SystemExit if protoc fails.
+    """
     include = pathlib.Path(grpc_tools.__file__).parent / "_proto"
     plugin = pathlib.Path(sys.executable).parent / "protoc-gen-grpclib_python"
     code = protoc.main(
@@ -34,7 +37,7 @@
 
 
 def main() -> int:
-    """Generate in place, or compare with a fresh generation (`--check`)."""
+    """Generate in place, or compare the committed files with new output (`--check`)."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--check", action="store_true")
     if not parser.parse_args().check:
--- a/tools/generate_docs.py
+++ b/tools/generate_docs.py
@@ -1,4 +1,4 @@
-"""Write the pages that are made from the code: settings reference and example file."""
+"""Generate pages from the code: the settings reference and the example settings file."""
 
 import pathlib
 
@@ -20,7 +20,7 @@
 
 
 def example_settings() -> str:
-    """Return a commented settings file with every key."""
+    """Return the example settings file, with every key and its default."""
     lines = ["; Settings of a whinrack router, every key with its default.", ""]
     for section in msgspec.structs.fields(Settings):
         lines += [f"; {section.type.__doc__.strip()}", f"[{section.name}]"]
@@ -37,7 +37,7 @@
 
 
 def generated_pages() -> dict[pathlib.PurePath, str]:
-    """Return each page's text by its path."""
+    """Return the text of each generated page by its path."""
     return {
         pathlib.PurePath("docs/settings.md"): render_settings_reference(),
         pathlib.PurePath("examples/router.ini"): example_settings(),
--- a/tools/outcome_report.py
+++ b/tools/outcome_report.py
@@ -1,11 +1,12 @@
-"""Prints what became of requests, from the logs of all instances.
+"""Report the outcomes of requests from the logs of all instances.
 
-One table counts the ends of requests by reason and by span of time, another one what
-instances noticed meanwhile (lost peers, a lost store, crowding). A third one names the
-instances with most refusals, and how long refused requests had waited.
+The first table counts outcomes of requests by reason and time interval, the second one other
+events that instances logged (lost peers, an unreachable store, overload). The third table shows,
+for requests that were not answered, how long they had waited and which instances had most of them.
 
-Usage: ``python tools/outcome_report.py [--span SECONDS] LOG...``; whatever stands before the
-JSON object on a line is skipped, but for a leading number, which is taken as the time.
+Usage: ``python tools/outcome_report.py [--span SECONDS] LOG...``. Text before the JSON object on a
+line is skipped, except for a leading number, which is used as the time, and a last word that is
+not a number, which is used as the name of the instance.
 """
 
 import sys
@@ -25,12 +26,12 @@
 
 
 class Outcome(msgspec.Struct, frozen=True):
-    """One event of one instance.
+    """Logged event of an instance.
 
     Attributes
     ----------
     seconds : float
-        When it happened, from the first event of the logs.
+        Time of the event, from the first event of the logs or as given on the line.
     """
 
     seconds: float
@@ -41,7 +42,7 @@
 
     @property
     def reason(self) -> str:
-        """How a request ended, empty for other events."""
+        """Return the outcome of a request, empty for other events."""
         if self.event == _REFUSED:
             return "refused " + self.fields.get("code", "?")
         if self.event == _BROKEN:
@@ -53,7 +54,7 @@
 
     @property
     def notice(self) -> str:
-        """What the instance noticed, empty for other events."""
+        """Return the name and code of a reported event, empty for other events."""
         if self.event not in _NOTICED:
             return ""
         code = self.fields.get("code", "")
@@ -68,7 +69,7 @@
 
 
 def read_events(lines: Iterable[str]) -> Iterator[Outcome]:
-    """Yield the events of a log, in its order; lines that are none are skipped."""
+    """Yield the events of a log in order; lines without a valid event are skipped."""
     decoder = msgspec.json.Decoder(_Line)
     first: float | None = None
     for line in lines:
@@ -98,7 +99,13 @@
 def summarise(
     events: Iterable[Outcome], span: float
 ) -> tuple[dict[str, Counter[int]], dict[str, Counter[int]]]:
-    """Return the ends of requests and the notices, each counted by span of time."""
+    """Count the outcomes of requests and the reported events by time interval.
+
+    Returns
+    -------
+    tuple of two dicts
+        Counts by interval index, for each outcome and for each reported event.
+    """
     ends: dict[str, Counter[int]] = defaultdict(Counter)
     notices: dict[str, Counter[int]] = defaultdict(Counter)
     for event in events:
@@ -140,10 +147,10 @@
 
 
 @click.command()
-@click.option("--span", default=4.0, help="Seconds of one column.")
+@click.option("--span", default=4.0, help="Seconds per column.")
 @click.argument("logs", nargs=-1, required=True)
 def main(span: float, logs: tuple[str, ...]) -> None:
-    """Print what became of requests, from the logs of all instances."""
+    """Report the outcomes of requests from the logs of all instances."""
     events = list(read_events(_read_files(logs)))
     ends, notices = summarise(events, span)
     _print_table("ends of requests, from second", ends, span)
--- a/tools/refusal_report.py
+++ b/tools/refusal_report.py
@@ -1,13 +1,14 @@
-"""Tells from logs which refusals for a budget one counter of all instances would not make.
+"""Report from logs which budget refusals a single global counter would have avoided.
 
-An all-knowing counter lets a request through if what was used, what runs and the request,
-each at its most, fit into the limit. It is played on the same arrivals, in the order of the
-lines: requests that were answered are billed as they were, requests whose end is unknown
-in full, refused ones at their most if the counter lets them through.
+A global counter with complete knowledge admits a request if the tokens used, the tokens of
+running requests and the tokens of the new request, each at their maximum, fit into the limit.
+It is simulated on the logged requests in the order of the lines: answered requests count with
+their billed tokens, requests with unknown outcome with their full tokens, and refused requests
+with their maximum if the counter admits them.
 
-Usage: ``python tools/refusal_report.py LOG...``; whatever stands before the JSON object on a
-line is skipped. Requests that run are known at their end only, so the counter sees them a
-little late; it lets through a little too much, and the share is an upper bound.
+Usage: ``python tools/refusal_report.py LOG...``. Text before the JSON object on a line is skipped.
+Running requests are logged only when they end, so the simulated counter sees them late and admits
+slightly too many requests: the reported share of wrong refusals is an upper bound.
 """
 
 import sys
@@ -24,7 +25,7 @@
 
 
 class LogLine(msgspec.Struct):
-    """One event of one instance."""
+    """Logged event of an instance."""
 
     event: int
     time: str = ""
@@ -32,14 +33,14 @@
 
 
 class BudgetReport(msgspec.Struct):
-    """What became of the requests of one budget.
+    """Outcomes of the requests of one budget.
 
     Attributes
     ----------
     used : int
-        Tokens of the requests that the counter let through.
+        Tokens of the requests that the simulated counter admitted.
     written_off : int
-        Tokens that instances which died may have used, in excess of what they told.
+        Tokens that crashed instances may have used in addition to what they had reported.
     """
 
     limit: int = 0
@@ -51,7 +52,7 @@
 
 
 def read_lines(lines: Iterable[str]) -> Iterator[LogLine]:
-    """Yield the events of a log, in its order."""
+    """Yield the events of a log in order; lines without a valid event are skipped."""
     decoder = msgspec.json.Decoder(LogLine)
     for line in lines:
         start = line.find('{"time"')
@@ -64,7 +65,7 @@
 
 
 def report(lines: Iterable[LogLine]) -> dict[str, BudgetReport]:
-    """Play the counter on the events; returns the reports by budget."""
+    """Simulate the global counter on the events and return the reports by budget."""
     events = list(lines)
     budgets: dict[str, BudgetReport] = defaultdict(BudgetReport)
     for event in events:
--- a/tools/run_tests.py
+++ b/tools/run_tests.py
@@ -1,4 +1,4 @@
-"""Run pytest; failures listed in KNOWN-RED.txt are printed and passed over, no others."""
+"""Run pytest. Only failures of tests listed in KNOWN-RED.txt are reported without failing."""
 
 import pathlib
 import subprocess
@@ -10,7 +10,7 @@
 
 
 def known_red() -> list[str]:
-    """Return the test ids of KNOWN-RED.txt, `test, cause, issue` a line."""
+    """Return the test ids of KNOWN-RED.txt, which has one `test, cause, issue` per line."""
     if not KNOWN_RED.exists():
         return []
     lines = KNOWN_RED.read_text().splitlines()
@@ -18,7 +18,10 @@
 
 
 def main() -> int:
-    """Run the suite without the known red tests, then run and print those."""
+    """Run and print the known failing tests, then run the suite without them.
+
+    Returns the exit code of the suite, or 1 if more than `LIMIT` tests are listed.
+    """
     red = known_red()
     if len(red) > LIMIT:
         print(f"KNOWN-RED.txt holds {len(red)} tests, {LIMIT} are allowed")
