--- a/tools/outcome_report.py
+++ b/tools/outcome_report.py
@@ -19,10 +19,10 @@
 
 __all__ = ["Outcome", "read_events", "summarise"]
 
-_ANSWERED, _REFUSED, _BROKEN, _LEFT = 7001, 7002, 7003, 7004
-_ENDS = {_ANSWERED: "answered", _BROKEN: "broken off", _LEFT: "caller left"}
-_NOTICED = {1006, 1008, 2001, 4002, 4006, 5001, 6004, 7005, 7007}
-_MOST_NAMED = 8
+_ANSWERED, _REFUSED, _BROKEN_OFF, _CALLER_LEFT = 7001, 7002, 7003, 7004
+_OUTCOMES = {_ANSWERED: "answered", _BROKEN_OFF: "broken off", _CALLER_LEFT: "caller left"}
+_REPORTED_EVENTS = {1006, 1008, 2001, 4002, 4006, 5001, 6004, 7005, 7007}
+_MAX_INSTANCES_SHOWN = 8
 
 
 class Outcome(msgspec.Struct, frozen=True):
@@ -45,17 +45,17 @@
         """Return the outcome of a request, empty for other events."""
         if self.event == _REFUSED:
             return "refused " + self.fields.get("code", "?")
-        if self.event == _BROKEN:
+        if self.event == _BROKEN_OFF:
             return "broken off " + self.fields.get("code", "?")
         if self.event == _ANSWERED:
             status = self.fields.get("status", "200")
             return "answered" if status == "200" else f"answered {status}"
-        return _ENDS.get(self.event, "")
+        return _OUTCOMES.get(self.event, "")
 
     @property
     def notice(self) -> str:
         """Return the name and code of a reported event, empty for other events."""
-        if self.event not in _NOTICED:
+        if self.event not in _REPORTED_EVENTS:
             return ""
         code = self.fields.get("code", "")
         return f"{self.name} {code}".strip()
@@ -81,11 +81,13 @@
         except msgspec.MsgspecError:
             continue
         words = line[:start].split()
-        stamped = bool(words) and _is_number(words[0])
-        moment = float(words[0]) if stamped else datetime.fromisoformat(read.time).timestamp()
-        first = 0.0 if stamped else (moment if first is None else first)
+        has_timestamp = bool(words) and _is_number(words[0])
+        timestamp = (
+            float(words[0]) if has_timestamp else datetime.fromisoformat(read.time).timestamp()
+        )
+        first = 0.0 if has_timestamp else (timestamp if first is None else first)
         instance = words[-1] if words and not _is_number(words[-1]) else ""
-        yield Outcome(moment - first, instance, read.event, read.name, read.fields)
+        yield Outcome(timestamp - first, instance, read.event, read.name, read.fields)
 
 
 def _is_number(text: str) -> bool:
@@ -109,34 +111,34 @@
     ends: dict[str, Counter[int]] = defaultdict(Counter)
     notices: dict[str, Counter[int]] = defaultdict(Counter)
     for event in events:
-        slot = int(event.seconds // span)
+        interval = int(event.seconds // span)
         if event.reason:
-            ends[event.reason][slot] += 1
+            ends[event.reason][interval] += 1
         if event.notice:
-            notices[event.notice][slot] += 1
+            notices[event.notice][interval] += 1
     return dict(ends), dict(notices)
 
 
 def _print_table(title: str, table: dict[str, Counter[int]], span: float) -> None:
-    slots = sorted({slot for counts in table.values() for slot in counts})
-    print(f"\n{title:34}{'all':>7}" + "".join(f"{slot * span:6.0f}" for slot in slots))
+    intervals = sorted({interval for counts in table.values() for interval in counts})
+    print(f"\n{title:34}{'all':>7}" + "".join(f"{interval * span:6.0f}" for interval in intervals))
     for name in sorted(table, key=lambda name: -table[name].total()):
-        row = "".join(f"{table[name][slot] or '':>6}" for slot in slots)
+        row = "".join(f"{table[name][interval] or '':>6}" for interval in intervals)
         print(f"{name:34}{table[name].total():7}{row}")
 
 
 def _print_waits(events: list[Outcome]) -> None:
     waits: dict[str, list[float]] = defaultdict(list)
-    places: dict[str, Counter[str]] = defaultdict(Counter)
+    counts_by_instance: dict[str, Counter[str]] = defaultdict(Counter)
     for event in events:
-        if event.event in (_REFUSED, _BROKEN, _LEFT):
+        if event.event in (_REFUSED, _BROKEN_OFF, _CALLER_LEFT):
             waits[event.reason].append(float(event.fields.get("waited", 0)))
-            places[event.reason][event.instance] += 1
+            counts_by_instance[event.reason][event.instance] += 1
     print(f"\n{'not answered':34}{'median s':>9}{'most s':>9}  instances with most")
     for reason, seconds in sorted(waits.items(), key=lambda item: -len(item[1])):
         ordered = sorted(seconds)
-        named = places[reason].most_common(_MOST_NAMED)
-        text = " ".join(f"{name}:{count}" for name, count in named)
+        top_instances = counts_by_instance[reason].most_common(_MAX_INSTANCES_SHOWN)
+        text = " ".join(f"{name}:{count}" for name, count in top_instances)
         print(f"{reason:34}{ordered[len(ordered) // 2]:9.3f}{ordered[-1]:9.3f}  {text}")
 
 
--- a/tools/refusal_report.py
+++ b/tools/refusal_report.py
@@ -20,7 +20,7 @@
 __all__ = ["BudgetReport", "read_lines", "report"]
 
 _ANSWERED, _REFUSED, _COUNTED = 7001, 7006, 7007
-_BOOKS, _RELEASED = 6005, 6004
+_ACCOUNTS_LOGGED, _RELEASED = 6005, 6004
 _LIMIT_FIELD = 5
 
 
@@ -69,10 +69,10 @@
     events = list(lines)
     budgets: dict[str, BudgetReport] = defaultdict(BudgetReport)
     for event in events:
-        if event.event == _BOOKS:
+        if event.event == _ACCOUNTS_LOGGED:
             _read_limits(event, budgets)
     for event in events:
-        _count(event, budgets)
+        _count_event(event, budgets)
     return dict(budgets)
 
 
@@ -83,7 +83,7 @@
         budgets[name].limit = max(limit, budgets[name].limit)
 
 
-def _count(event: LogLine, budgets: dict[str, BudgetReport]) -> None:
+def _count_event(event: LogLine, budgets: dict[str, BudgetReport]) -> None:
     fields = event.fields
     if event.event == _RELEASED:
         for item in fields.get("rows", "").split():
@@ -99,10 +99,10 @@
     elif event.event == _COUNTED:
         budget.used += int(fields["tokens"])
     elif event.event == _REFUSED:
-        _refuse(budget, int(fields["tokens"]))
+        _count_refusal(budget, int(fields["tokens"]))
 
 
-def _refuse(budget: BudgetReport, tokens: int) -> None:
+def _count_refusal(budget: BudgetReport, tokens: int) -> None:
     budget.refused += 1
     if budget.used + tokens <= budget.limit:
         budget.refused_wrongly += 1
@@ -116,9 +116,9 @@
         row = budgets[name]
         figures = (row.limit, row.answered, row.refused, row.refused_wrongly, row.written_off)
         print("{:16}{:>10}{:>10}{:>10}{:>10}{:>12}".format(name, *figures))
-    asked = sum(row.answered + row.refused for row in budgets.values())
+    request_count = sum(row.answered + row.refused for row in budgets.values())
     wrongly = sum(row.refused_wrongly for row in budgets.values())
-    print(f"{wrongly} of {asked} refused wrongly, {wrongly / max(1, asked):.4f}")
+    print(f"{wrongly} of {request_count} refused wrongly, {wrongly / max(1, request_count):.4f}")
 
 
 def _read_files(paths: Iterable[str]) -> Iterator[str]:
--- a/tools/run_tests.py
+++ b/tools/run_tests.py
@@ -6,10 +6,10 @@
 
 ROOT = pathlib.Path(__file__).resolve().parent.parent
 KNOWN_RED = ROOT / "KNOWN-RED.txt"
-LIMIT = 3
+MAX_KNOWN_FAILING = 3
 
 
-def known_red() -> list[str]:
+def known_failing_tests() -> list[str]:
     """Return the test ids of KNOWN-RED.txt, which has one `test, cause, issue` per line."""
     if not KNOWN_RED.exists():
         return []
@@ -20,16 +20,16 @@
 def main() -> int:
     """Run and print the known failing tests, then run the suite without them.
 
-    Returns the exit code of the suite, or 1 if more than `LIMIT` tests are listed.
+    Returns the exit code of the suite, or 1 if more than `MAX_KNOWN_FAILING` tests are listed.
     """
-    red = known_red()
-    if len(red) > LIMIT:
-        print(f"KNOWN-RED.txt holds {len(red)} tests, {LIMIT} are allowed")
+    known_failing = known_failing_tests()
+    if len(known_failing) > MAX_KNOWN_FAILING:
+        print(f"KNOWN-RED.txt holds {len(known_failing)} tests, {MAX_KNOWN_FAILING} are allowed")
         return 1
-    for test in red:
+    for test in known_failing:
         print("known red:", test)
         subprocess.run([sys.executable, "-m", "pytest", "-x", test], cwd=ROOT)
-    deselect = [f"--deselect={test}" for test in red]
+    deselect = [f"--deselect={test}" for test in known_failing]
     return subprocess.run([sys.executable, "-m", "pytest", *deselect], cwd=ROOT).returncode
 
 
