--- a/whinrack/engines/_sse.py
+++ b/whinrack/engines/_sse.py
@@ -100,7 +100,7 @@
             self.is_complete = True
             events -= 1
         if events > data.count(self._id_mark):
-            raise ForeignAnswer("the target sent an event with another id")
+            raise ForeignAnswer("an event with another id")
         self.event_count += events
         self.content_event_count += data.count(_CONTENT_MARK)
         if _USAGE_MARK in data:
