--- a/whinrack/cli/_accounts.py
+++ b/whinrack/cli/_accounts.py
@@ -90,7 +90,7 @@
     bills = value_or_exit(read_bills(open_store(platform)))
     lines = [
         f"{name}: {row.requests} requests, {row.tokens} tokens"
-        f" ({row.duplicate_tokens} tokens of duplicate runs not billed)"
+        f" ({row.duplicate_tokens} of further runs not billed)"
         for name, row in sorted(bills.items())
     ]
     print_result(bills, output, "\n".join(lines))
