--- a/whinrack/dispatch/_answer_times.py
+++ b/whinrack/dispatch/_answer_times.py
@@ -5,7 +5,7 @@
 __all__ = ["AnswerTimes"]
 
 # The silence timeout as a multiple of the average time until an answer of the pool begins, and its
-# bounds in seconds. Chosen so that slow answers of a healthy target stay below; not measured.
+# bounds in seconds. It has to exceed the slow answers of a healthy target.
 _FACTOR = 6.0
 _SERVICE_BOUNDS = (0.15, 1.5)
 _ENGINE_BOUNDS = (1.0, 3.0)
--- a/whinrack/dispatch/_registry.py
+++ b/whinrack/dispatch/_registry.py
@@ -22,8 +22,8 @@
 __all__ = ["TargetRegistry"]
 
 _BUSY_SECONDS = 0.25
-# Starts of leaving targets that are remembered, the latest ones. Chosen, like the number of
-# remembered removed targets, to cover a release of the largest fleet that is planned for.
+# Starts of leaving targets that are remembered, the latest ones. Like the number of remembered
+# removed targets, it covers a release of the largest fleet that is planned for.
 _MAX_LEAVING_STARTS = 2000
 
 
--- a/whinrack/quarantine/_fingerprint.py
+++ b/whinrack/quarantine/_fingerprint.py
@@ -26,8 +26,9 @@
 
     Examples
     --------
-    >>> once = fingerprint("h", b"/x", "w", b"text")
-    >>> once == fingerprint("h", b"/x", "w", b"text"), once == fingerprint("h", b"/x", "v", b"text")
+    >>> once = compute_fingerprint("h", b"/x", "w", b"text")
+    >>> again = compute_fingerprint("h", b"/x", "w", b"text")
+    >>> once == again, once == compute_fingerprint("h", b"/x", "v", b"text")
     (True, False)
     """
     digest = hashlib.blake2b(digest_size=_BYTES, key=_KEY)
--- a/whinrack/store/_token_bucket.py
+++ b/whinrack/store/_token_bucket.py
@@ -16,7 +16,7 @@
     Examples
     --------
     >>> bucket = TokenBucket(rate=10.0, burst=1.0)
-    >>> bucket.delay(now=0.0), round(bucket.delay(now=0.0), 2)
+    >>> bucket.reserve(now=0.0), round(bucket.reserve(now=0.0), 2)
     (0.0, 0.1)
     """
 
